--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -37,7 +37,7 @@
   Settings settings;
   RequestClass look;
   look.name = "look";
-  look.aim = 500'000;
+  look.latency_target = 500'000;
   look.deadline = 2'000'000;
   look.repeat = Repeat::kSafe;
   settings.classes = {look};
@@ -71,14 +71,15 @@
       outcome.attempt = attempt;
       outcome.elapsed = 20'000;
       outcome.result = server == servers[0].id ? Result::kRefused : Result::kSuccess;
-      outcome.settled = outcome.result == Result::kSuccess;  // a success reaches the client and ends it
-      served += outcome.settled;
+      outcome.final_answer_sent =
+          outcome.result == Result::kSuccess;  // a success reaches the client and ends it
+      served += outcome.final_answer_sent;
       now += outcome.elapsed;
       balancer->OnOutcome(now, outcome);
       for (const auto& [token, delay] : std::exchange(sink.timers, {}))
         balancer->OnTimer(now += delay, token);
     }
   }
-  std::printf("%d of 8 served, %zu held\n", served, balancer->requests_held());
-  return served == 8 && balancer->requests_held() == 0 ? 0 : 1;
+  std::printf("%d of 8 served, %zu held\n", served, balancer->pending_request_count());
+  return served == 8 && balancer->pending_request_count() == 0 ? 0 : 1;
 }
--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -36,13 +36,13 @@
 
 struct RequestClass {
   std::string name;
-  Micros aim = 0;          // an answer within this time is worth all
-  double aim_stretch = 0;  // the aim grows by this multiple of the request's own work
-  Micros deadline = 0;     // the longest that a client waits, over all its tries
-  double worth = 1;        // of one request, or of one unit of its work
-  double late_worth = 0;   // share of the worth of an answer after the aim
+  Micros latency_target = 0;          // an answer within this time is worth all
+  double latency_target_stretch = 0;  // the aim grows by this multiple of the request's own work
+  Micros deadline = 0;                // the longest that a client waits, over all its tries
+  double value = 1;                   // of one request, or of one unit of its work
+  double late_value = 0;              // share of the worth of an answer after the aim
   Repeat repeat = Repeat::kNever;
-  DedupGroup group = DedupGroup::kAll;
+  DedupGroup dedup_group = DedupGroup::kAll;
   Micros dedup_window = 0;  // repeats are dropped for so long after the first send
   bool streamed = false;
   bool sequential = false;  // requests of such classes with one key run one at a time, in order of arrival
@@ -58,10 +58,10 @@
 struct Settings {
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;
-  int zone = -1;               // this sidecar's; -1 = unknown
-  std::uint32_t rank = 0;      // this sidecar's number, from 0
-  std::uint32_t siblings = 1;  // number of sidecars
-  Micros tick = 0;             // events arrive at this granularity
+  int zone = -1;                    // this sidecar's; -1 = unknown
+  std::uint32_t rank = 0;           // this sidecar's number, from 0
+  std::uint32_t sidecar_count = 1;  // number of sidecars
+  Micros tick = 0;                  // events arrive at this granularity
   // What is allowed.
   int max_attempts = 1;
   bool parallel_attempts = false;
@@ -70,11 +70,11 @@
   bool probes = false;
   Micros max_retry_after = 0;  // clients follow no longer advice; 0 = they take none
   int streams_per_connection = 1;
-  Micros connection_idle = 0;  // idle connections are closed after so long; 0 = not told
-  Micros dial_timeout = 0;     // a connection that is not up by then is unreachable; 0 = not told
-  std::int64_t most_open = 0;  // requests that a sidecar can have open; 0 = not told
-  std::int64_t cpu_per_s = 0;  // CPU that a sidecar has, in microseconds a second; 0 = not told
-  double cpu_per_request = 0;  // CPU for a request with its outcomes, in microseconds; 0 = no limit
+  Micros connection_idle = 0;          // idle connections are closed after so long; 0 = not told
+  Micros dial_timeout = 0;             // a connection that is not up by then is unreachable; 0 = not told
+  std::int64_t max_open_requests = 0;  // requests that a sidecar can have open; 0 = not told
+  std::int64_t cpu_per_s = 0;          // CPU that a sidecar has, in microseconds a second; 0 = not told
+  double cpu_per_request = 0;          // CPU for a request with its outcomes, in microseconds; 0 = no limit
   bool clients_mark_repeats = false;
   // What is told of the servers' load, and what the weights of the list are.
   enum class Reports { kNone, kInAnswers, kInProbes } reports = Reports::kNone;
@@ -86,30 +86,30 @@
   bool takes_over = false;  // from a process that still serves: what that one was told holds here too
   // The rules.
   Micros drain_grace = 0;
-  double cold_share = 1;              // capacity of a server at its start
-  Micros warm_after = 0;              // it has its full capacity after so long
+  double slow_start_share = 1;        // capacity of a server at its start
+  Micros slow_start_duration = 0;     // it has its full capacity after so long
   double overload_factor = 1;         // more than so many times its capacity ...
-  Micros fall_window = 0;             // ... for so long, and a cold server falls over
+  Micros overload_window = 0;         // ... for so long, and a cold server falls over
   bool refused_may_have_run = false;  // a server turns away also what it had begun: kRefused proves nothing
   Micros settle_after_doubt = 0;      // a key's next request waits so long after a time-out, reset or cancel
   // Prices, in shares of the result.
-  double price_crossing = 0;
-  double price_waste = 0;
-  double price_connection = 0;
-  double price_late = 0;
-  double price_handshake = 0;
-  double price_probe = 0;      // of a probe for each request
-  double price_peer = 0;       // of 256 bytes delivered to peers for each request
-  double price_discovery = 0;  // of 100 list lines for each request
-  double price_moves = 0;
-  double price_origin = 0;
+  double cost_cross_zone = 0;
+  double cost_waste = 0;
+  double cost_connection = 0;
+  double cost_late_fail = 0;
+  double cost_handshake = 0;
+  double cost_probe = 0;            // of a probe for each request
+  double cost_peer = 0;             // of 256 bytes delivered to peers for each request
+  double cost_membership_mode = 0;  // of 100 list lines for each request
+  double cost_moves = 0;
+  double cost_origin = 0;
   // What the result weighs, in shares.
   double goal_whole = 1;
   double goal_worst_window = 0;
   double goal_worst_class = 0;
   double goal_worst_tenant = 0;
-  bool worth_by_work = false;
-  double over_share_worth = 1;
+  bool value_by_work = false;
+  double over_share_value = 1;
 };
 
 struct ServerInfo {
@@ -140,7 +140,7 @@
   int tenant = -1;
   std::optional<Micros> cost;  // expected work
   Micros budget = 0;           // the client gives up after this time
-  bool partial = false;        // its body is still coming in: its times begin with OnWhole
+  bool body_pending = false;   // its body is still coming in: its times begin with OnRequestBodyComplete
   bool repeated = false;       // the client says that it is a repeat
   bool write = false;
   std::string_view key;  // what it concerns; empty = none
@@ -172,9 +172,9 @@
   int attempt = 0;
   Result result = Result::kSuccess;
   Micros elapsed = 0;
-  bool settled = false;  // the request has its final answer
+  bool final_answer_sent = false;  // the request has its final answer
   LoadReport load = {};
-  bool spent = false;  // its body has been passed on and is not held: it cannot be sent again
+  bool body_consumed = false;  // its body has been passed on and is not held: it cannot be sent again
 };
 
 struct ProbeResult {
@@ -200,9 +200,9 @@
 };
 
 // What is known of changes of the list that were not heard.
-enum class Unheard {
-  kPossible,  // there may be some
-  kTold,      // discovery has begun to tell some, and they did not come whole
+enum class MissedChanges {
+  kPossible,   // there may be some
+  kAnnounced,  // discovery has begun to tell some, and they did not come whole
 };
 
 class Balancer {
@@ -215,32 +215,36 @@
   Balancer& operator=(const Balancer&) = delete;
 
   void OnServers(Micros now, const ListUpdate& update);
-  // How far the list can be trusted. What was not heard of it binds from `binds` on; empty = it is current.
-  // Past the grace of a drain that may have been missed, requests wait and are refused: for a few seconds at
-  // most where changes are only possible, until the list is current again where some were told for certain.
-  void OnListAge(Micros now, std::optional<Micros> binds, Unheard unheard = Unheard::kPossible);
+  // How far the list can be trusted. What was not heard of it binds from `effective_from` on; empty = it is
+  // current. Past the grace of a drain that may have been missed, requests wait and are refused: for a few
+  // seconds at most where changes are only possible, until the list is current again where some were told for
+  // certain.
+  void OnListStaleness(Micros now, std::optional<Micros> effective_from,
+                       MissedChanges missed = MissedChanges::kPossible);
   // Whether that is so now: nothing new may be written to any server.
-  bool holds(Micros now);
+  bool DispatchPaused(Micros now);
   // By hand: a server that is out gets nothing new, whatever the list says, until it is put back. It counts
   // as started then, until the list tells of another start than it did before.
-  void OnBan(Micros now, std::string_view server, bool out);
+  void SetAdminDown(Micros now, std::string_view server, bool down);
   // What it has learnt of load and of servers, as text for the process that takes over from this one, which
-  // gives it to Recall after its first list. Text that makes no sense changes nothing and returns false.
-  std::string Learned() const;
-  bool Recall(Micros now, std::string_view learned);
+  // gives it to RestoreLearnedState after its first list. Text that makes no sense changes nothing and
+  // returns false.
+  std::string ExportLearnedState() const;
+  bool RestoreLearnedState(Micros now, std::string_view learned);
   void OnRequest(Micros now, const Request& request);
   // The last byte of a partial request has been passed on; the client gives up so long from now.
-  void OnWhole(Micros now, std::string_view request, Micros budget);
+  void OnRequestBodyComplete(Micros now, std::string_view request, Micros budget);
   void OnResponseStarted(Micros now, std::string_view request, int attempt);
   void OnOutcome(Micros now, const Outcome& outcome);
-  void OnClientGone(Micros now, std::string_view request);
+  void OnClientDisconnected(Micros now, std::string_view request);
   void OnTimer(Micros now, std::uint64_t token);
   void OnProbed(Micros now, const ProbeResult& probe);
   void OnPeerMessage(Micros now, std::uint32_t sender, std::string_view bytes);
 
   std::size_t servers_avoided(Micros now);  // of those listed, how many get nothing now, by hand or by choice
-  std::size_t requests_held() const;        // records kept, ended ones with an attempt still out included
-  std::uint64_t list_walks() const;  // how often news made it go through all listed servers, not just its own
+  std::size_t pending_request_count() const;  // records kept, ended ones with an attempt still out included
+  std::uint64_t ring_rebuild_count()
+      const;  // how often news made it go through all listed servers, not just its own
 
  private:
   class State;
--- a/scale/hollow.cpp
+++ b/scale/hollow.cpp
@@ -76,7 +76,7 @@
   balancer_->OnRequest(Now(), request);
   Outcome outcome;
   outcome.request = id;
-  outcome.settled = true;
+  outcome.final_answer_sent = true;
   if (!sent_to_.empty()) balancer_->OnOutcome(Now(), outcome);
   return sent_to_;
 }
--- a/src/drill/host.cpp
+++ b/src/drill/host.cpp
@@ -173,7 +173,7 @@
     fields.Word("server");
     outcome.result = ParseResult(fields.Word("outcome"));
     outcome.elapsed = fields.NonNegative("wait_time_us");
-    outcome.settled = fields.Bool("settled");
+    outcome.final_answer_sent = fields.Bool("settled");
     outcome.load = ParseLoad(fields.Word("stats"));
     fields.End();
     instance.Run([&](Balancer& b) { b.OnOutcome(now_, outcome); });
@@ -186,7 +186,7 @@
     Instance& instance = Find(fields);
     const std::string_view request = fields.Word("call");
     fields.End();
-    instance.Run([&](Balancer& b) { b.OnClientGone(now_, request); });
+    instance.Run([&](Balancer& b) { b.OnClientDisconnected(now_, request); });
   } else if (verb == "HEADERS") {
     Instance& instance = Find(fields);
     const std::string_view request = fields.Word("call");
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -98,11 +98,11 @@
   RequestClass c;
   c.name = pairs.Text(at + "name", "");
   if (c.name.empty()) Bad(at + "name", "", "a class needs a name");
-  c.aim = pairs.Int(at + "aim_us", 0);
-  c.aim_stretch = pairs.Number(at + "aim_stretch", 0);
+  c.latency_target = pairs.Int(at + "aim_us", 0);
+  c.latency_target_stretch = pairs.Number(at + "aim_stretch", 0);
   c.deadline = pairs.Int(at + "hard_limit_us", 0);
-  c.worth = pairs.Number(at + "importance", 1);
-  c.late_worth = pairs.Number(at + "late_value", 0);
+  c.value = pairs.Number(at + "importance", 1);
+  c.late_value = pairs.Number(at + "late_value", 0);
   c.dedup_window = pairs.Int(at + "window_us", 0);
   c.streamed = pairs.Bool(at + "stream", false);
   c.sequential = pairs.Bool(at + "sequential", false);
@@ -110,7 +110,7 @@
                            {{"idempotent", Repeat::kSafe},
                             {"deduplicated", Repeat::kDeduplicated},
                             {"at_most_once", Repeat::kNever}});
-  c.group = OneOf<DedupGroup>(
+  c.dedup_group = OneOf<DedupGroup>(
       pairs.Text(at + "group", "all"), at + "group", "unknown group",
       {{"all", DedupGroup::kAll}, {"zone", DedupGroup::kZone}, {"cell", DedupGroup::kCell}});
   return c;
@@ -206,7 +206,7 @@
   }
   s.zone = IndexOf(out.zones, pairs.Text("my_zone", ""));
   s.rank = static_cast<std::uint32_t>(pairs.Small("rank", 0));
-  s.siblings = static_cast<std::uint32_t>(pairs.Small("siblings", 1));
+  s.sidecar_count = static_cast<std::uint32_t>(pairs.Small("siblings", 1));
   s.tick = pairs.Int("quantum_us", 0);
   s.max_attempts = pairs.Small("allowed.max_attempts", 1);
   s.parallel_attempts = pairs.Bool("allowed.parallel_tries", false);
@@ -218,7 +218,7 @@
   s.streams_per_connection = pairs.Small("allowed.streams_per_conn", 1);
   s.connection_idle = pairs.Int("allowed.conn_idle_us", 0);
   s.dial_timeout = pairs.Int("allowed.dial_timeout_us", 0);
-  s.most_open = pairs.Int("allowed.open_cap", 0);
+  s.max_open_requests = pairs.Int("allowed.open_cap", 0);
   s.cpu_per_s = pairs.Int("allowed.cpu_us_per_s", 0);
   s.cpu_per_request = pairs.Number("allowed.cpu_us_per_request", 0);
   s.clients_mark_repeats = pairs.Bool("callers.marks_retry", false);
@@ -235,28 +235,28 @@
   s.must_subscribe = pairs.Text("membership_mode", "automatic") == "subscribe";
   s.ask_within = pairs.Int("rules.ask_within_us", 0);
   s.drain_grace = pairs.Int("rules.drain_grace_us", 0);
-  s.cold_share = pairs.Number("rules.cold_from", 1);
-  s.warm_after = pairs.Int("rules.warm_after_us", 0);
+  s.slow_start_share = pairs.Number("rules.cold_from", 1);
+  s.slow_start_duration = pairs.Int("rules.warm_after_us", 0);
   s.overload_factor = pairs.Number("rules.overload_factor", 1);
-  s.fall_window = pairs.Int("rules.fall_us", 0);
+  s.overload_window = pairs.Int("rules.fall_us", 0);
   s.refused_may_have_run = pairs.Bool("rules.late_shedding", false);
   s.settle_after_doubt = pairs.Int("rules.settle_after_doubt_us", 0);
-  s.price_crossing = pairs.Number("costs.cross_zone", 0);
-  s.price_waste = pairs.Number("costs.waste", 0);
-  s.price_connection = pairs.Number("costs.connection", 0);
-  s.price_late = pairs.Number("costs.late_fail", 0);
-  s.price_handshake = pairs.Number("costs.handshake", 0);
-  s.price_probe = pairs.Number("costs.probe", 0);
-  s.price_peer = pairs.Number("costs.peer", 0);
-  s.price_discovery = pairs.Number("costs.membership_mode", 0);
-  s.price_moves = pairs.Number("costs.moves", 0);
-  s.price_origin = pairs.Number("costs.origin", 0);
+  s.cost_cross_zone = pairs.Number("costs.cross_zone", 0);
+  s.cost_waste = pairs.Number("costs.waste", 0);
+  s.cost_connection = pairs.Number("costs.connection", 0);
+  s.cost_late_fail = pairs.Number("costs.late_fail", 0);
+  s.cost_handshake = pairs.Number("costs.handshake", 0);
+  s.cost_probe = pairs.Number("costs.probe", 0);
+  s.cost_peer = pairs.Number("costs.peer", 0);
+  s.cost_membership_mode = pairs.Number("costs.membership_mode", 0);
+  s.cost_moves = pairs.Number("costs.moves", 0);
+  s.cost_origin = pairs.Number("costs.origin", 0);
   s.goal_whole = pairs.Number("goal.whole", 1);
   s.goal_worst_window = pairs.Number("goal.worst_window", 0);
   s.goal_worst_class = pairs.Number("goal.worst_class", 0);
   s.goal_worst_tenant = pairs.Number("goal.worst_tenant", 0);
-  s.worth_by_work = pairs.Text("value_by", "request") == "work";
-  s.over_share_worth = pairs.Number("over_share_worth", 1);
+  s.value_by_work = pairs.Text("value_by", "request") == "work";
+  s.over_share_value = pairs.Number("over_share_worth", 1);
   return out;
 }
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -56,7 +56,7 @@
   }
 
   void Stop() {
-    if (owner_ != nullptr) CutOff(*owner_, Unheard::kTold);
+    if (owner_ != nullptr) CutOff(*owner_, MissedChanges::kAnnounced);
     owner_ = nullptr;
     tcp_.close();
   }
@@ -148,7 +148,7 @@
   }
 
   // Told by half: what the owner knows of the list ends where this object began.
-  void CutOff(Discovery& owner, Unheard unheard) const {
+  void CutOff(Discovery& owner, MissedChanges unheard) const {
     if (objects_.inside()) owner.age_.CutOff(object_began_, unheard);
   }
 
@@ -156,7 +156,7 @@
     if (owner_ == nullptr) return;
     Discovery* const owner = std::exchange(owner_, nullptr);
     tcp_.close();
-    CutOff(*owner, why == CallEnd::kBadInput ? Unheard::kPossible : Unheard::kTold);
+    CutOff(*owner, why == CallEnd::kBadInput ? MissedChanges::kPossible : MissedChanges::kAnnounced);
     const auto self = shared_from_this();  // the owner lets go of it
     owner->OnEnd(*this, why, reason);
   }
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -65,7 +65,7 @@
   // From when on changes that were not heard bind; none while a watch is heard, and while there can be none.
   std::optional<ListAge::Time> binds_unheard() const;
   // Whether such changes are only possible or known to have been told.
-  Unheard unheard() const { return age_.unheard(); }
+  MissedChanges unheard() const { return age_.unheard(); }
 
  private:
   using Clock = std::chrono::steady_clock;
--- a/src/net/list_age.cpp
+++ b/src/net/list_age.cpp
@@ -43,7 +43,7 @@
   failed_overdue_ = 0;
   unwatched_since_.reset();
   cut_off_ = false;
-  unheard_ = Unheard::kPossible;
+  unheard_ = MissedChanges::kPossible;
 }
 
 void ListAge::CallEnded(CallEnd how, Time began, Time now) {
@@ -87,10 +87,10 @@
   return timing_.told_at_end && !cut_off_ && (how == CallEnd::kSilent || how == CallEnd::kUnanswered);
 }
 
-void ListAge::CutOff(Time begun, Unheard unheard) {
+void ListAge::CutOff(Time begun, MissedChanges unheard) {
   binds_ = std::min(binds_, begun);
   cut_off_ = true;
-  if (unheard == Unheard::kTold) unheard_ = unheard;
+  if (unheard == MissedChanges::kAnnounced) unheard_ = unheard;
 }
 
 // A discovery that cannot be reached tells nothing. Guards against holding back all requests for a list that
--- a/src/net/list_age.hpp
+++ b/src/net/list_age.hpp
@@ -44,9 +44,9 @@
   void CallEnded(CallEnd how, Time began, Time now);
   // What was being told from that time on did not come whole. Counts as told: discovery has written it.
   // kPossible: what came makes no sense, so that it need not have been a change.
-  void CutOff(Time begun, Unheard unheard = Unheard::kTold);
+  void CutOff(Time begun, MissedChanges unheard = MissedChanges::kAnnounced);
   // What is known of changes that were not heard.
-  Unheard unheard() const { return unheard_; }
+  MissedChanges unheard() const { return unheard_; }
   // Another discovery is followed. What binds earlier keeps its time.
   void Switched(Time now);
 
@@ -68,7 +68,7 @@
   // changes.
   std::optional<Time> unwatched_since_;
   bool cut_off_ = false;  // something was being told: no outage puts it off
-  Unheard unheard_ = Unheard::kPossible;
+  MissedChanges unheard_ = MissedChanges::kPossible;
   bool silent_ = false;     // it pushes its lists, and the last call got no answer or fell silent
   bool lost_ = true;        // discovery has given no sign of life, at all or since it broke a connection
   int failed_overdue_ = 0;  // calls that failed after binds_
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -178,7 +178,7 @@
   }
   OnList(ListUpdate::Kind::kStale, config_.known);
   discovery_.Know(config_.known.endpoints.empty() ? Discovery::kUnknown : config_.known.generation);
-  if (config_.wire.settings.takes_over && !balancer_->Recall(Now(), shared_.Left()))
+  if (config_.wire.settings.takes_over && !balancer_->RestoreLearnedState(Now(), shared_.Left()))
     std::fprintf(stderr, "shared folder: nothing to be learnt from the process before this one\n");
   if (!config_.wire.settings.must_subscribe) discovery_.Watch();
   if (config_.accept_fd || config_.management) Look();
@@ -226,7 +226,7 @@
   }
   std::fprintf(stderr, "by hand: %s %s, %zu out now\n", out ? "out" : "back", Printable(server).c_str(),
                banned_.size());
-  balancer_->OnBan(Now(), server, out);
+  balancer_->SetAdminDown(Now(), server, out);
   upstream_.SetOut(server, out);
 }
 
@@ -248,21 +248,21 @@
     if (management_ != nullptr) ever_listed_.insert(endpoint.info.id);
   }
   balancer_->OnServers(Now(), {kind, list.generation, servers});
-  if (kind != ListUpdate::Kind::kStale) balancer_->OnListAge(Now(), std::nullopt);
+  if (kind != ListUpdate::Kind::kStale) balancer_->OnListStaleness(Now(), std::nullopt);
 }
 
 // Tells the module from when on changes bind that were not heard. A watch that has not said anything yet, or
 // a list that is still coming in, changes nothing.
 void Sidecar::OnListAging() {
   const auto binds = discovery_.binds_unheard();
-  if (!binds) return balancer_->OnListAge(Now(), std::nullopt);
+  if (!binds) return balancer_->OnListStaleness(Now(), std::nullopt);
   const auto left =
       std::chrono::duration_cast<std::chrono::microseconds>(*binds - std::chrono::steady_clock::now());
-  balancer_->OnListAge(Now(), Now() + left.count(), discovery_.unheard());
+  balancer_->OnListStaleness(Now(), Now() + left.count(), discovery_.unheard());
 }
 
 void Sidecar::OnDiscoveryHeard() {
-  if (!discovery_.binds_unheard()) balancer_->OnListAge(Now(), std::nullopt);
+  if (!discovery_.binds_unheard()) balancer_->OnListStaleness(Now(), std::nullopt);
 }
 
 void Sidecar::OnDiscoveryFailed(Micros within) {
@@ -322,7 +322,7 @@
   const auto& head = call.request.head;
   in.tenant = TenantIndex(View(head[kTenantHeader]));
   in.budget = budget;
-  in.partial = call.partial;
+  in.body_pending = call.partial;
   in.repeated = head[kRepeatHeader] == "1";
   in.write = head.method() != http::verb::get;
   if (const auto cost = ParseDecimal(View(head[kCostHeader])); cost && *cost < 1e12)
@@ -340,7 +340,7 @@
     counters_.Finish(it->second.request_class, Counters::End::kClientGone);
   Note("left by the client");
   TraceRequest(id, "left by the client");
-  balancer_->OnClientGone(Now(), id);
+  balancer_->OnClientDisconnected(Now(), id);
   EraseIfOver(id);
 }
 
@@ -369,7 +369,7 @@
   attempt.sent = now;
   attempt.expires = attempt.timeout > 0 ? std::min(call.deadline, now + attempt.timeout) : call.deadline;
   Watch(id, call);
-  balancer_->OnWhole(now, id, budget);
+  balancer_->OnRequestBodyComplete(now, id, budget);
 }
 
 // Tells the module, once, what became of an attempt.
@@ -386,8 +386,8 @@
   outcome.attempt = attempt;
   outcome.result = result;
   outcome.elapsed = std::max<Micros>(now - ended.sent, 0);
-  outcome.settled = it->second.session == nullptr;
-  outcome.spent = it->second.spent;
+  outcome.final_answer_sent = it->second.session == nullptr;
+  outcome.body_consumed = it->second.spent;
   outcome.load = load;
   balancer_->OnOutcome(now, outcome);
   EraseIfOver(id);
@@ -483,7 +483,7 @@
     Note("out of time");
     TraceRequest(id, "failed", [] { return std::string("out of time"); });
     Answer(it->second, Counters::End::kFailed, Plain(http::status::gateway_timeout, "out of time\n"));
-    balancer_->OnClientGone(now, id);
+    balancer_->OnClientDisconnected(now, id);
     return EraseIfOver(id);
   }
   if (now < it->second.deadline) Watch(id, it->second);
@@ -564,7 +564,7 @@
   events.done = [this, id, number](UpstreamAnswer answer) { OnAnswer(id, number, std::move(answer)); };
   events.wanted = [this, id] {
     const auto dialed = calls_.find(id);
-    return dialed != calls_.end() && Wanted(dialed->second) && !balancer_->holds(Now());
+    return dialed != calls_.end() && Wanted(dialed->second) && !balancer_->DispatchPaused(Now());
   };
   if (call.partial) {
     events.drawn = [this, id] {
@@ -655,7 +655,8 @@
   }
   // What has been learnt is left for the next process; while two live, the one that was there first has done
   // so.
-  if (config_.accept_fd && !others_ && looks_++ % kLooksToLeave == 0) shared_.Leave(balancer_->Learned());
+  if (config_.accept_fd && !others_ && looks_++ % kLooksToLeave == 0)
+    shared_.Leave(balancer_->ExportLearnedState());
   if (config_.accept_fd) LookLater();  // else there is no other process
 }
 
--- a/src/outdated_list.hpp
+++ b/src/outdated_list.hpp
@@ -16,7 +16,7 @@
       : grace_(std::max<Micros>(settings.drain_grace - settings.dial_timeout - settings.tick - kHeldUp, 0)) {}
 
   // Changes that were not heard bind from then on.
-  void BindsFrom(Micros time, Unheard unheard) {
+  void BindsFrom(Micros time, MissedChanges unheard) {
     binds_ = time;
     unheard_ = unheard;
   }
@@ -31,7 +31,7 @@
   bool Holds(Micros now) {
     if (!binds_ || now < *binds_ + grace_) return false;
     if (!held_since_) held_since_ = now;
-    return unheard_ == Unheard::kTold || now < *held_since_ + kMostHold;
+    return unheard_ == MissedChanges::kAnnounced || now < *held_since_ + kMostHold;
   }
   // Since when they are; empty if they are not, or were and discovery is still not heard.
   std::optional<Micros> held_since() const { return held_since_; }
@@ -43,7 +43,7 @@
 
   const Micros grace_;
   std::optional<Micros> binds_;
-  Unheard unheard_ = Unheard::kPossible;
+  MissedChanges unheard_ = MissedChanges::kPossible;
   std::optional<Micros> held_since_;
 };
 
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -40,7 +40,7 @@
 // servers takes a longer run of the ring, by its own traffic and never by the fleet's size: else a few busy
 // callers choke the servers of their windows while others idle.
 std::size_t Width(const Pool& pool, const Settings& set) {
-  const double per_out = set.price_connection > 0 ? kServersPerOut : kServersPerOutFree;
+  const double per_out = set.cost_connection > 0 ? kServersPerOut : kServersPerOutFree;
   return std::min(std::max(kWindowWidth, static_cast<std::size_t>(per_out * pool.out_peak)),
                   pool.ring.size());
 }
@@ -64,7 +64,7 @@
 
   void OnServers(const ListUpdate& update) {
     if (update.kind == ListUpdate::Kind::kFailed) {
-      const Micros most = Doubled(std::max(kAskBase, kSecond * set_.siblings / kAsksPerSecond),
+      const Micros most = Doubled(std::max(kAskBase, kSecond * set_.sidecar_count / kAsksPerSecond),
                                   asks_failed_++, set_.ask_within);
       return AskLater(std::min(most, update.ask_within.value_or(most)));
     }
@@ -78,7 +78,7 @@
         server.credit = {random_.Unit(), served_, now_};
       server.info = info;
       bans_.OnListed(info.id, info.started);
-      server.pool = set_.price_crossing >= kCrossingPriced && info.zone != set_.zone ? 1 : 0;
+      server.pool = set_.cost_cross_zone >= kCrossingPriced && info.zone != set_.zone ? 1 : 0;
       server.listed = info.state != ServerInfo::State::kGone;
       if (!walk) Place(server);
     }
@@ -92,14 +92,14 @@
   }
 
   // What was not heard of the list binds from then on; empty while the list is current.
-  void OnListAge(std::optional<Micros> binds, Unheard unheard) {
-    if (binds) return outdated_.BindsFrom(*binds, unheard);
+  void OnListStaleness(std::optional<Micros> effective_from, MissedChanges missed) {
+    if (effective_from) return outdated_.BindsFrom(*effective_from, missed);
     if (outdated_.held_since()) LogHeld("in use again", *outdated_.held_since());
     outdated_.Current();
   }
 
   // Guards against sending to a server whose drain was never heard of.
-  bool Holds() {
+  bool DispatchPaused() {
     const bool held_before = outdated_.held_since().has_value();
     const bool holds = outdated_.Holds(now_);
     if (holds && !held_before) LogHeld("out of date", now_);
@@ -117,10 +117,10 @@
 
   // ---- Servers out by hand ----
 
-  void OnBan(std::string_view id, bool out) {
+  void SetAdminDown(std::string_view id, bool down) {
     const auto server = servers_.find(std::string(id));
     const bool known = server != servers_.end();
-    if (out) {
+    if (down) {
       if (!bans_.TakeOut(id, known ? std::optional(server->second.info.started) : std::nullopt)) return;
     } else {
       if (!bans_.PutBack(id, now_)) return;
@@ -166,15 +166,15 @@
     for (Pool& pool : pools_) {
       Rescale(pool, std::exchange(pool.settled, pool.ring.size()));
       // Ranks are spread evenly over the ring; a server that comes or goes shifts each window by one at most.
-      pool.offset =
-          static_cast<std::size_t>(static_cast<std::uint64_t>(set_.rank) * pool.ring.size() / set_.siblings);
+      pool.offset = static_cast<std::size_t>(static_cast<std::uint64_t>(set_.rank) * pool.ring.size() /
+                                             set_.sidecar_count);
     }
   }
 
   // ---- What is handed over to the next process ----
 
   // Guards against a successor that takes an overload for what is usual, as it begins in the middle of it.
-  std::string Learned() {
+  std::string ExportLearnedState() {
     std::string text = MarkOf(set_) + "\n";
     const auto write = [&](double value) {
       char digits[32];
@@ -191,7 +191,7 @@
   }
 
   // All or nothing: it is read twice, and taken the second time.
-  bool Recall(std::string_view learned) {
+  bool RestoreLearnedState(std::string_view learned) {
     const std::string mark = MarkOf(set_) + "\n";
     if (learned.substr(0, mark.size()) != mark) return false;
     learned.remove_prefix(mark.size());
@@ -247,11 +247,11 @@
     held.request_class = static_cast<std::size_t>(in.request_class);
     held.arrived = now_;
     held.deadline = now_ + in.budget;
-    held.partial = in.partial;
+    held.partial = in.body_pending;
     ClassLoad& load = load_[held.request_class];
     load.longest_budget = std::max(load.longest_budget, in.budget);
     held.late = in.budget < load.longest_budget - set_.tick &&
-                ClassOf(held).deadline - in.budget >= ClassOf(held).aim;
+                ClassOf(held).deadline - in.budget >= ClassOf(held).latency_target;
     CountArrival(held, in.cost);
     if (ClassOf(held).sequential && !in.key.empty()) lines_[held.key = in.key].push_back(it->first);
     const bool hopeless = Hopeless(held);
@@ -282,9 +282,9 @@
     if (outcome.result == Result::kTimeout || outcome.result == Result::kReset ||
         outcome.result == Result::kCancelled)
       held.settled_at = now_ + set_.settle_after_doubt;
-    if (outcome.settled) held.ended = true;
+    if (outcome.final_answer_sent) held.ended = true;
     if (held.ended || held.AnyOut()) return Release(it);
-    if (outcome.spent) return End(it);
+    if (outcome.body_consumed) return End(it);
     switch (outcome.result) {
       case Result::kRefused:
       case Result::kUnreachable:
@@ -300,15 +300,15 @@
   }
 
   // A request is timed from its last byte, and so is its attempt.
-  void OnWhole(std::string_view request, Micros budget) {
+  void OnRequestBodyComplete(std::string_view request, Micros budget) {
     auto it = held_.find(std::string(request));
     if (it == held_.end() || !std::exchange(it->second.partial, false)) return;
     it->second.arrived = now_;
     it->second.deadline = now_ + budget;
-    if (it->second.AnyOut()) Alarm(it, ClassOf(it->second).aim);
+    if (it->second.AnyOut()) Alarm(it, ClassOf(it->second).latency_target);
   }
 
-  void OnClientGone(std::string_view request) {
+  void OnClientDisconnected(std::string_view request) {
     auto it = held_.find(std::string(request));
     if (it == held_.end()) return;
     it->second.ended = true;
@@ -357,7 +357,7 @@
     Held& held = it->second;
     held.timer = 0;  // a turn may come before the alarm that was set for its failing to come
     if (!HasTurn(it)) return Alarm(it, std::max<Micros>(held.deadline - now_ - 2 * set_.tick, 0));
-    Server* server = held.deadline > now_ && !Holds() ? Choose(held) : nullptr;
+    Server* server = held.deadline > now_ && !DispatchPaused() ? Choose(held) : nullptr;
     if (server == nullptr) return Wait(it);
     // Spent where it is sent to, not where it is drawn: a draw that another server wins must cost it nothing.
     server->credit.left = std::max(server->credit.left - 1, 0.0);
@@ -366,7 +366,7 @@
     pool.out_peak = std::max(static_cast<double>(++pool.out), pool.out_peak * (1 - 1 / kMixMemory));
     held.attempts.push_back({server, server->info.zone, server->info.cell, now_});
     sink_.Send(it->first, server->info.id, TimeOut(held));
-    const Micros late = held.arrived + ClassOf(held).aim - now_;
+    const Micros late = held.arrived + ClassOf(held).latency_target - now_;
     if (late > 0 && !held.partial) Alarm(it, late);
   }
 
@@ -374,8 +374,9 @@
   // comes late, and tells early of those that hang.
   Micros TimeOut(const Held& held) const {
     const RequestClass& c = ClassOf(held);
-    if (c.aim <= 0 || c.late_worth > 0 || c.aim_stretch > 0) return 0;
-    return held.partial ? c.aim : std::max<Micros>(held.arrived + c.aim - now_, set_.tick);
+    if (c.latency_target <= 0 || c.late_value > 0 || c.latency_target_stretch > 0) return 0;
+    return held.partial ? c.latency_target
+                        : std::max<Micros>(held.arrived + c.latency_target - now_, set_.tick);
   }
 
   // ---- Overload: which work is let in ----
@@ -390,7 +391,7 @@
       // each refuse a part, so that nothing reaches the last ones and none of them ever learns better.
       if (now_ - pool.felt_at > load_[own].longest_budget) pool.admit = std::max(pool.admit, 1.0);
       // A crossing has to be worth its price: requests of least worth stay at home or are refused.
-      if (held.pool > 0 && Worth(own) < set_.price_crossing * mean_worth_.value) break;
+      if (held.pool > 0 && Worth(own) < set_.cost_cross_zone * mean_worth_.value) break;
       if (!pool.ring.empty() && Admits(pool, own, held.late)) return true;
     }
     held.pool = 0;
@@ -402,7 +403,7 @@
   bool Hopeless(const Held& held) const {
     const RequestClass& c = ClassOf(held);
     const ClassLoad& load = load_[held.request_class];
-    if (TimeOut(held) == 0 || set_.price_waste <= 0 || load.answer.seen < kHopeLearnt ||
+    if (TimeOut(held) == 0 || set_.cost_waste <= 0 || load.answer.seen < kHopeLearnt ||
         mean_density_.value <= 0)
       return false;
     const Pool& pool = pools_[pools_[0].ring.empty() ? 1 : 0];
@@ -411,7 +412,7 @@
     double best = Slow(pool.InWindow(0));
     for (std::size_t i = 1; i < width; ++i) best = std::min(best, Slow(pool.InWindow(i)));
     const double odds = 1 + Density(held.request_class) / mean_density_.value;
-    return load.answer.value * held.size * best > odds * static_cast<double>(c.aim);
+    return load.answer.value * held.size * best > odds * static_cast<double>(c.latency_target);
   }
 
   // Says what is refused on arrival and why; at most once a second and nothing while all is let in.
@@ -485,7 +486,7 @@
     const double admit = std::min(pool.admit, Room(pool));
     if (admit >= 1) return true;
     return random_.Unit() * load_[own].arriving <
-           admit * Arriving(0) - Arriving(Density(own) * (late ? set_.classes[own].late_worth : 1));
+           admit * Arriving(0) - Arriving(Density(own) * (late ? set_.classes[own].late_value : 1));
   }
 
   // Work that arrived lately and is worth more than `density`.
@@ -528,7 +529,7 @@
   }
 
   double Worth(std::size_t i) const {
-    return set_.classes[i].worth * (set_.worth_by_work ? load_[i].work.value : 1);
+    return set_.classes[i].value * (set_.value_by_work ? load_[i].work.value : 1);
   }
   double Density(std::size_t i) const { return Worth(i) / load_[i].work.value; }
 
@@ -550,7 +551,7 @@
     // outweighs ten good answers. It could harm where servers choke without more attempts out than usual;
     // what they answer still tells it.
     if (outcome.result == Result::kTimeout && (pool.limited || !server.busy)) return;
-    const double aim = static_cast<double>(std::max<Micros>(ClassOf(held).aim, 1));
+    const double aim = static_cast<double>(std::max<Micros>(ClassOf(held).latency_target, 1));
     double aims = std::min(static_cast<double>(outcome.elapsed) / aim, kAdmitWorst);
     if (outcome.result == Result::kSuccess) {
       ClassLoad& load = load_[held.request_class];
@@ -610,14 +611,14 @@
       machines_[server.info.machine].Add(taken, usual, kMixMemory);
     }
     if (outcome.result == Result::kSuccess) {
-      if (outcome.elapsed >= ClassOf(held).aim) return;
+      if (outcome.elapsed >= ClassOf(held).latency_target) return;
       server.strikes = 0;
       server.good_at = now_;
     } else if (outcome.result != Result::kRefused) {
       // At once broken, it says less: the network resets some of any server's requests. Guards against
       // leaving half of the servers alone all the time; one that is dead has served nothing for an aim soon
       // enough.
-      Strike(server, std::min(sent, now_ - ClassOf(held).aim));
+      Strike(server, std::min(sent, now_ - ClassOf(held).latency_target));
     }
   }
 
@@ -769,8 +770,8 @@
     if (!MayRepeat(held)) return false;
     if (ran == nullptr || c.repeat == Repeat::kSafe) return true;
     // Where it ran may be unknown: that is nobody's group.
-    if (c.group == DedupGroup::kZone) return ran->zone >= 0 && ran->zone == server.info.zone;
-    if (c.group == DedupGroup::kCell) return ran->cell >= 0 && ran->cell == server.info.cell;
+    if (c.dedup_group == DedupGroup::kZone) return ran->zone >= 0 && ran->zone == server.info.zone;
+    if (c.dedup_group == DedupGroup::kCell) return ran->cell >= 0 && ran->cell == server.info.cell;
     return true;
   }
 
@@ -779,9 +780,10 @@
   double Warmth(const Server& server) const {
     const Micros started = bans_.Started(server.info.id, server.info.started);
     const Micros age = now_ - started;
-    if (started == 0 || age >= set_.warm_after) return 1;
-    const double grown = static_cast<double>(std::max<Micros>(age, 0)) / static_cast<double>(set_.warm_after);
-    return set_.cold_share + (1 - set_.cold_share) * grown;
+    if (started == 0 || age >= set_.slow_start_duration) return 1;
+    const double grown =
+        static_cast<double>(std::max<Micros>(age, 0)) / static_cast<double>(set_.slow_start_duration);
+    return set_.slow_start_share + (1 - set_.slow_start_share) * grown;
   }
 
   // The share of the servers that the window holds, and so of the sidecars whose windows hold a server.
@@ -854,11 +856,11 @@
   void End(HeldIt it) {
     const RequestClass& c = ClassOf(it->second);
     const bool harmless = it->second.MayHaveRun() == nullptr || c.repeat == Repeat::kSafe ||
-                          (c.group == DedupGroup::kAll && MayRepeat(it->second));
+                          (c.dedup_group == DedupGroup::kAll && MayRepeat(it->second));
     it->second.ended = true;
     if (harmless) {
       // Advice beyond half the aim would bring the client back too late to be served in time.
-      const Micros most = std::min(set_.max_retry_after, c.aim / 2);
+      const Micros most = std::min(set_.max_retry_after, c.latency_target / 2);
       sink_.Refuse(it->first, most > 0 ? 1 + random_.Upto(most) : 0);
     } else {
       sink_.Fail(it->first);
@@ -940,18 +942,20 @@
   error.clear();
   if (s.classes.empty()) error = "no request classes";
   for (const RequestClass& c : s.classes) {
-    if (c.aim < 0 || c.deadline < 0 || c.dedup_window < 0) error = "negative time in class " + c.name;
+    if (c.latency_target < 0 || c.deadline < 0 || c.dedup_window < 0)
+      error = "negative time in class " + c.name;
     if (c.repeat < Repeat::kSafe || c.repeat > Repeat::kNever)
       error = "unknown repeat kind in class " + c.name;
-    if (c.group < DedupGroup::kAll || c.group > DedupGroup::kCell) error = "unknown group in class " + c.name;
-    if (!(c.worth >= 0)) error = "negative worth in class " + c.name;
+    if (c.dedup_group < DedupGroup::kAll || c.dedup_group > DedupGroup::kCell)
+      error = "unknown group in class " + c.name;
+    if (!(c.value >= 0)) error = "negative worth in class " + c.name;
   }
   if (s.max_attempts < 1) error = "max_attempts under 1";
-  if (s.siblings < 1 || s.rank >= s.siblings) error = "rank outside the number of sidecars";
-  if (!(s.cold_share > 0 && s.cold_share <= 1)) error = "cold_share outside (0, 1]";
+  if (s.sidecar_count < 1 || s.rank >= s.sidecar_count) error = "rank outside the number of sidecars";
+  if (!(s.slow_start_share > 0 && s.slow_start_share <= 1)) error = "slow_start_share outside (0, 1]";
   if (!(s.overload_factor > 0)) error = "overload_factor not above 0";
-  if (s.warm_after < 0 || s.drain_grace < 0 || s.fall_window < 0 || s.tick < 0 || s.ask_within < 0 ||
-      s.max_retry_after < 0 || s.settle_after_doubt < 0)
+  if (s.slow_start_duration < 0 || s.drain_grace < 0 || s.overload_window < 0 || s.tick < 0 ||
+      s.ask_within < 0 || s.max_retry_after < 0 || s.settle_after_doubt < 0)
     error = "negative time";
   if (!error.empty()) return nullptr;
   return std::unique_ptr<Balancer>(new Balancer(std::make_unique<State>(s, seed, now, sink)));
@@ -961,27 +965,33 @@
 Balancer::~Balancer() = default;
 
 void Balancer::OnServers(Micros now, const ListUpdate& update) { state_->At(now).OnServers(update); }
-void Balancer::OnListAge(Micros now, std::optional<Micros> binds, Unheard unheard) {
-  state_->At(now).OnListAge(binds, unheard);
+void Balancer::OnListStaleness(Micros now, std::optional<Micros> effective_from, MissedChanges missed) {
+  state_->At(now).OnListStaleness(effective_from, missed);
+}
+bool Balancer::DispatchPaused(Micros now) { return state_->At(now).DispatchPaused(); }
+void Balancer::SetAdminDown(Micros now, std::string_view server, bool down) {
+  state_->At(now).SetAdminDown(server, down);
+}
+std::string Balancer::ExportLearnedState() const { return state_->ExportLearnedState(); }
+bool Balancer::RestoreLearnedState(Micros now, std::string_view learned) {
+  return state_->At(now).RestoreLearnedState(learned);
 }
-bool Balancer::holds(Micros now) { return state_->At(now).Holds(); }
-void Balancer::OnBan(Micros now, std::string_view server, bool out) { state_->At(now).OnBan(server, out); }
-std::string Balancer::Learned() const { return state_->Learned(); }
-bool Balancer::Recall(Micros now, std::string_view learned) { return state_->At(now).Recall(learned); }
 void Balancer::OnRequest(Micros now, const Request& request) { state_->At(now).OnRequest(request); }
-void Balancer::OnWhole(Micros now, std::string_view request, Micros budget) {
-  state_->At(now).OnWhole(request, budget);
+void Balancer::OnRequestBodyComplete(Micros now, std::string_view request, Micros budget) {
+  state_->At(now).OnRequestBodyComplete(request, budget);
 }
 void Balancer::OnResponseStarted(Micros now, std::string_view, int) {
   state_->At(now);  // the attempt is the client's now; its outcome still comes
 }
 void Balancer::OnOutcome(Micros now, const Outcome& outcome) { state_->At(now).OnOutcome(outcome); }
-void Balancer::OnClientGone(Micros now, std::string_view request) { state_->At(now).OnClientGone(request); }
+void Balancer::OnClientDisconnected(Micros now, std::string_view request) {
+  state_->At(now).OnClientDisconnected(request);
+}
 void Balancer::OnTimer(Micros now, std::uint64_t token) { state_->At(now).OnTimer(token); }
 void Balancer::OnProbed(Micros now, const ProbeResult&) { state_->At(now); }
 void Balancer::OnPeerMessage(Micros now, std::uint32_t, std::string_view) { state_->At(now); }
 std::size_t Balancer::servers_avoided(Micros now) { return state_->At(now).Avoided(); }
-std::size_t Balancer::requests_held() const { return state_->size(); }
-std::uint64_t Balancer::list_walks() const { return state_->walks(); }
+std::size_t Balancer::pending_request_count() const { return state_->size(); }
+std::uint64_t Balancer::ring_rebuild_count() const { return state_->walks(); }
 
 }  // namespace merlinrun
--- a/src/records.hpp
+++ b/src/records.hpp
@@ -149,7 +149,7 @@
   std::string mark;
   const auto add = [&](const std::string& name) { mark += std::to_string(name.size()) + ":" + name + " "; };
   for (const RequestClass& c : settings.classes)
-    add(c.name), add(std::to_string(c.aim)), add(std::to_string(c.deadline));
+    add(c.name), add(std::to_string(c.latency_target)), add(std::to_string(c.deadline));
   mark += "covered for ";  // and of what meaning the figures are: since they allow for the window's share
   for (const Tenant& tenant : settings.tenants) add(tenant.name);
   return mark;
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -73,7 +73,7 @@
   ASSERT_EQ(sent.size(), 1u);
   EXPECT_EQ(sent[0].kind, Kind::kSend);
   EXPECT_TRUE(Resolve("r1", 0, Result::kSuccess, true).empty());
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
 TEST_F(BalancerTest, RefusalWaitsThenGoesToAnotherServer) {
@@ -105,7 +105,7 @@
   EXPECT_EQ(actions[0].kind, Kind::kRefuse);
   EXPECT_GT(actions[0].time, 0);
   EXPECT_LE(actions[0].time, settings.max_retry_after);
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
 TEST_F(BalancerTest, RefusesWhenTheWaitWouldOutrunTheTimeLeft) {
@@ -124,7 +124,7 @@
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kRefuse);
   EXPECT_LT(now_, 105 * kSec);
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
 TEST_F(BalancerTest, NeverRepeatsWhatMustNotRunTwice) {
@@ -156,7 +156,7 @@
 TEST_F(BalancerTest, ARepeatReachesItsGroupOutsideTheWindow) {
   Settings settings = MakeSettings();
   settings.refused_may_have_run = true;
-  settings.classes[1].group = DedupGroup::kCell;
+  settings.classes[1].dedup_group = DedupGroup::kCell;
   auto servers = MakeServers(20);
   for (std::size_t i = 0; i < servers.size(); ++i) servers[i].cell = static_cast<std::int64_t>(i % 10);
   Start(settings, 0);
@@ -184,7 +184,7 @@
   EXPECT_EQ(next[0].kind, Kind::kSend);
   EXPECT_EQ(next[0].request, "b");
   // The client of the one in turn leaves: its attempt may be running, and may go on after the reset.
-  balancer_->OnClientGone(now_, "b");
+  balancer_->OnClientDisconnected(now_, "b");
   EXPECT_TRUE(sink_.Take().empty());
   const auto settle = Resolve("b", 0, Result::kReset, true);
   ASSERT_EQ(settle.size(), 1u);
@@ -196,7 +196,7 @@
   Resolve("c", 0, Result::kSuccess, true);
   Resolve("other", 0, Result::kSuccess, true);
   Resolve("free", 0, Result::kSuccess, true);
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
 TEST_F(BalancerTest, WhoWaitsForATurnIsAnsweredInTime) {
@@ -288,7 +288,7 @@
   }
   EXPECT_GT(young, 0);
   // Half of what would push it over if those served were all that the three of the window can do.
-  EXPECT_LE(young, 1 + served / 3.0 * MakeSettings().cold_share * MakeSettings().overload_factor / 2);
+  EXPECT_LE(young, 1 + served / 3.0 * MakeSettings().slow_start_share * MakeSettings().overload_factor / 2);
 }
 
 // Met when six in ten servers were replaced: others won the draws, credit was lost on them, and the newcomers
@@ -318,8 +318,8 @@
   const int young = play(400, 10 * kMs, "s00");
   // Four seconds of a third of what is usual, at the share that it certainly can do, half of what fells it.
   const double usual = 4 * 100 / 3.0 * MakeSettings().overload_factor / 2;
-  EXPECT_GT(young, 0.5 * usual * MakeSettings().cold_share);
-  EXPECT_LE(young, 1 + usual * (MakeSettings().cold_share + 1) / 2);
+  EXPECT_GT(young, 0.5 * usual * MakeSettings().slow_start_share);
+  EXPECT_LE(young, 1 + usual * (MakeSettings().slow_start_share + 1) / 2);
 }
 
 TEST_F(BalancerTest, AYoungServerTakesItsTurnByItsSize) {
@@ -339,7 +339,7 @@
     }
     return young;
   };
-  const double share = MakeSettings().cold_share * MakeSettings().overload_factor / 2;
+  const double share = MakeSettings().slow_start_share * MakeSettings().overload_factor / 2;
   EXPECT_NEAR(sent_to_young(1), 4000 / 3.0 * share, 100);
   EXPECT_NEAR(sent_to_young(0.25), 4000 / 9.0 * share, 50);
 }
@@ -360,8 +360,8 @@
   const std::string first = Took()[0].server;
   const auto wait = Resolve("w1", 0, Result::kUnreachable);
   const std::string out = first == "s00" ? "s01" : "s00";
-  balancer_->OnBan(now_, out, true);
-  balancer_->OnBan(now_, out, true);
+  balancer_->SetAdminDown(now_, out, true);
+  balancer_->SetAdminDown(now_, out, true);
   EXPECT_EQ(balancer_->servers_avoided(now_), 2u);  // and the one that could not be reached
   const auto again = Fire(wait[0]);
   ASSERT_EQ(again.size(), 1u);
@@ -374,10 +374,10 @@
   List(ListUpdate::Kind::kDelta, gone);
   List(ListUpdate::Kind::kFull, MakeServers(3));
   send_many(200, out);
-  balancer_->OnBan(now_, out, false);
-  balancer_->OnBan(now_, out, false);
+  balancer_->SetAdminDown(now_, out, false);
+  balancer_->SetAdminDown(now_, out, false);
   EXPECT_EQ(balancer_->servers_avoided(now_), 0u);
-  now_ += MakeSettings().warm_after;
+  now_ += MakeSettings().slow_start_duration;
   int back = 0;
   for (int i = 300; i < 400; ++i) {
     const std::string id = "r" + std::to_string(i);
@@ -392,8 +392,8 @@
   const auto share = [&](bool told_long_ago) {
     now_ = 100 * kSec;
     Start(MakeSettings(), 3);
-    balancer_->OnBan(now_, "s00", true);
-    balancer_->OnBan(now_, "s00", false);
+    balancer_->SetAdminDown(now_, "s00", true);
+    balancer_->SetAdminDown(now_, "s00", false);
     if (told_long_ago) {
       auto servers = MakeServers(3);
       servers[0].started = now_ - 50 * kSec;
@@ -407,7 +407,7 @@
     }
     return back;
   };
-  const double young = 300 / 3.0 * MakeSettings().cold_share * MakeSettings().overload_factor / 2;
+  const double young = 300 / 3.0 * MakeSettings().slow_start_share * MakeSettings().overload_factor / 2;
   EXPECT_GT(share(false), 0);
   EXPECT_LE(share(false), 1 + young);
   EXPECT_GT(share(true), 1 + young);
@@ -420,18 +420,18 @@
   request.id = "r1";
   request.request_class = 0;
   request.budget = 5 * kSec;
-  request.partial = true;
+  request.body_pending = true;
   balancer_->OnRequest(now_, request);
   auto actions = sink_.Take();
   ASSERT_EQ(actions.size(), 1u);  // and no alarm
-  EXPECT_EQ(actions[0].time, MakeSettings().classes[0].aim);
+  EXPECT_EQ(actions[0].time, MakeSettings().classes[0].latency_target);
   now_ += 20 * kSec;
-  balancer_->OnWhole(now_, "r1", 5 * kSec);
-  balancer_->OnWhole(now_, "r1", 5 * kSec);
+  balancer_->OnRequestBodyComplete(now_, "r1", 5 * kSec);
+  balancer_->OnRequestBodyComplete(now_, "r1", 5 * kSec);
   actions = sink_.Take();
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kTimer);
-  EXPECT_EQ(actions[0].time, MakeSettings().classes[0].aim);
+  EXPECT_EQ(actions[0].time, MakeSettings().classes[0].latency_target);
   const auto wait = Resolve("r1", 0, Result::kRefused);  // there is time for another attempt
   ASSERT_EQ(wait.size(), 1u);
   EXPECT_EQ(wait[0].kind, Kind::kTimer);
@@ -441,12 +441,12 @@
   Start(MakeSettings(), 3);
   Arrive("r1");
   Outcome outcome{"r1", 0, Result::kUnreachable, 10 * kMs};
-  outcome.spent = true;
+  outcome.body_consumed = true;
   balancer_->OnOutcome(now_, outcome);
   const auto end = Took();
   ASSERT_EQ(end.size(), 1u);
   EXPECT_EQ(end[0].kind, Kind::kRefuse);
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
 // The next process knows from its first request on which server fails.
@@ -464,14 +464,14 @@
   };
   Start(MakeSettings(), 3);
   failing(500);
-  const std::string learnt = balancer_->Learned();
+  const std::string learnt = balancer_->ExportLearnedState();
   int fresh = 0;
   int told = 0;
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
     Start(MakeSettings(), 3, seed);
     fresh += failing(5);
     Start(MakeSettings(), 3, seed);
-    EXPECT_TRUE(balancer_->Recall(now_, learnt));
+    EXPECT_TRUE(balancer_->RestoreLearnedState(now_, learnt));
     told += failing(5);
   }
   EXPECT_GT(fresh, 40);
@@ -480,23 +480,23 @@
 
 TEST_F(BalancerTest, WhatMakesNoSenseIsNotRecalled) {
   Start(MakeSettings(), 3);
-  const std::string before = balancer_->Learned();
+  const std::string before = balancer_->ExportLearnedState();
   const std::string torn = before.substr(0, before.size() - 2);
   const std::string mark = before.substr(0, before.find('\n') + 1);
   const std::string rest = before.substr(mark.size());
   for (const std::string& text :
        {std::string(), std::string("."), torn, mark, mark + ".", mark + "x " + rest, mark + "-1 " + rest,
         mark + "nan " + rest, mark + "1 2 3\n.\n" + rest, "x " + before, rest})
-    EXPECT_FALSE(balancer_->Recall(now_, text)) << text;
-  EXPECT_EQ(balancer_->Learned(), before);
-  EXPECT_TRUE(balancer_->Recall(now_, before));
-  EXPECT_EQ(balancer_->Learned(), before);
+    EXPECT_FALSE(balancer_->RestoreLearnedState(now_, text)) << text;
+  EXPECT_EQ(balancer_->ExportLearnedState(), before);
+  EXPECT_TRUE(balancer_->RestoreLearnedState(now_, before));
+  EXPECT_EQ(balancer_->ExportLearnedState(), before);
 }
 
 // What was learnt under other classes, deadlines or tenants is another deployment's.
 TEST_F(BalancerTest, WhatWasLearntUnderOtherSettingsIsNotRecalled) {
   Start(MakeSettings(), 3);
-  const std::string learnt = balancer_->Learned();
+  const std::string learnt = balancer_->ExportLearnedState();
   std::vector<Settings> others(4, MakeSettings());
   others[0].classes[1].name = "d";
   others[1].classes[2].deadline += 1;
@@ -504,19 +504,19 @@
   std::swap(others[3].classes[0].name, others[3].classes[1].name = "cc");
   for (const Settings& other : others) {
     Start(other, 3);
-    const std::string own = balancer_->Learned();
-    EXPECT_FALSE(balancer_->Recall(now_, learnt));
-    EXPECT_EQ(balancer_->Learned(), own);
+    const std::string own = balancer_->ExportLearnedState();
+    EXPECT_FALSE(balancer_->RestoreLearnedState(now_, learnt));
+    EXPECT_EQ(balancer_->ExportLearnedState(), own);
   }
   Start(MakeSettings(), 3);
-  EXPECT_TRUE(balancer_->Recall(now_, learnt));
+  EXPECT_TRUE(balancer_->RestoreLearnedState(now_, learnt));
 }
 
 // Two servers of which nobody knows the group are not of one.
 TEST_F(BalancerTest, AnUnknownGroupIsNobodys) {
   for (const auto group : {DedupGroup::kZone, DedupGroup::kCell}) {
     Settings settings = MakeSettings();
-    settings.classes[1].group = group;
+    settings.classes[1].dedup_group = group;
     Start(settings, 0);
     auto servers = MakeServers(6);
     for (ServerInfo& info : servers) info.zone = -1, info.cell = -1;
@@ -560,7 +560,7 @@
 // Met on every overloaded day: all answers late, each retried by its client on top.
 TEST_F(BalancerTest, UnderPressureTheWorkOfLeastWorthIsRefusedFirst) {
   Settings settings = MakeSettings();
-  settings.classes[3].worth = 10;
+  settings.classes[3].value = 10;
   Start(settings, 10);
   std::map<int, int> refused;
   for (int i = 0; i < 600; ++i) {
@@ -590,7 +590,7 @@
 // Met on a quiet day: cheap work was refused all day where idle servers take a fifth of the aim.
 TEST_F(BalancerTest, WhatIdleServersTakeIsNoPressure) {
   Settings settings = MakeSettings();
-  settings.classes[3].worth = 10;
+  settings.classes[3].value = 10;
   Start(settings, 10);
   int refused = 0;
   for (int i = 0; i < 400; ++i) {
@@ -618,8 +618,8 @@
 TEST_F(BalancerTest, OwnZoneFirstWhereCrossingIsPricedAndSpillsUnderPressure) {
   Settings settings = MakeSettings();
   settings.zone = 0;
-  settings.price_crossing = 0.2;
-  settings.classes[0].worth = 0.1;  // less than a crossing costs, the mean being near 1
+  settings.cost_cross_zone = 0.2;
+  settings.classes[0].value = 0.1;  // less than a crossing costs, the mean being near 1
   Start(settings, 20);
   std::map<std::string, int> zone;
   for (const ServerInfo& info : MakeServers(20)) zone[info.id] = info.zone;
@@ -658,7 +658,7 @@
     if (request_class == 2 && sent[0].server == "s01") {
       ++refused;
       Resolve(id, 0, Result::kRefused);
-      balancer_->OnClientGone(now_, id);
+      balancer_->OnClientDisconnected(now_, id);
     } else {
       others += sent[0].server == "s01";
       Resolve(id, 0, Result::kSuccess, true);
@@ -675,14 +675,14 @@
   settings.cancel = true;
   Start(settings, 4);
   Arrive("r1");
-  balancer_->OnClientGone(now_, "r1");
+  balancer_->OnClientDisconnected(now_, "r1");
   const auto actions = sink_.Take();
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kCancel);
-  balancer_->OnClientGone(now_, "r1");
+  balancer_->OnClientDisconnected(now_, "r1");
   EXPECT_TRUE(sink_.Take().empty());  // once
   EXPECT_TRUE(Resolve("r1", 0, Result::kCancelled, true).empty());
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
 // Met after crashes: the list names a dead server for seconds, and each attempt there is lost.
@@ -696,7 +696,7 @@
     if (server == "s01") {
       ++tried;
       Resolve(id, 0, Result::kUnreachable);
-      balancer_->OnClientGone(now_, id);
+      balancer_->OnClientDisconnected(now_, id);
     } else {
       Resolve(id, 0, Result::kSuccess, true);
     }
@@ -726,9 +726,9 @@
 
 TEST_F(BalancerTest, TimesOutAtTheAimOnlyWhereALateAnswerIsWorthNothing) {
   Settings settings = MakeSettings();
-  settings.classes[3].late_worth = 0.25;
+  settings.classes[3].late_value = 0.25;
   Start(settings, 4);
-  EXPECT_EQ(Arrive("r1", 0)[0].time, settings.classes[0].aim);
+  EXPECT_EQ(Arrive("r1", 0)[0].time, settings.classes[0].latency_target);
   EXPECT_EQ(Arrive("r2", 3)[0].time, 0);
 }
 
@@ -820,7 +820,7 @@
 TEST_F(BalancerTest, WorkThatNoServerDoesInTimeIsRefusedAtOnceWhereWasteIsPriced) {
   Settings settings = MakeSettings();
   for (const double price : {0.0, 0.3}) {
-    settings.price_waste = price;
+    settings.cost_waste = price;
     Start(settings, 3);
     int round = 0;
     const auto arrive = [&](Micros cost) {
@@ -845,7 +845,7 @@
 
 TEST_F(BalancerTest, ABusySidecarTakesALongerRunOfTheRing) {
   Settings settings = MakeSettings();
-  settings.price_connection = 0.05;
+  settings.cost_connection = 0.05;
   Start(settings, 40);
   std::set<std::string> used;
   for (int i = 0; i < 12; ++i) used.insert(Arrive("r" + std::to_string(i))[0].server);
@@ -866,19 +866,19 @@
 // Met in three incidents: the overload was heard of only when the answers came, seconds after they were late.
 TEST_F(BalancerTest, WhatIsOutPastItsAimIsPressureAtOnce) {
   Settings settings = MakeSettings();
-  settings.classes[2].late_worth = 0.5;
+  settings.classes[2].late_value = 0.5;
   Start(settings, 10);
   std::vector<std::uint64_t> alarms;
   for (int i = 0; i < 12; ++i) {
     Deliver("r" + std::to_string(i), 2);
     for (const Action& action : sink_.Take())
       if (action.kind == Kind::kTimer) {
-        EXPECT_EQ(action.time, settings.classes[2].aim);
+        EXPECT_EQ(action.time, settings.classes[2].latency_target);
         alarms.push_back(action.token);
       }
   }
   ASSERT_EQ(alarms.size(), 12u);
-  now_ += settings.classes[2].aim;
+  now_ += settings.classes[2].latency_target;
   for (const std::uint64_t token : alarms) {
     balancer_->OnTimer(now_, token);
     balancer_->OnTimer(now_, token);  // once
@@ -929,7 +929,7 @@
 // Met on slow and ageing days: a server that answers in the end went on getting its share at once.
 TEST_F(BalancerTest, AServerWhereARequestOutlivesItsAimIsLeftAloneThenTriedOneAtATime) {
   Settings settings = MakeSettings();
-  settings.classes[0].late_worth = 0.5;
+  settings.classes[0].late_value = 0.5;
   Start(settings, 3);
   std::string id;
   std::uint64_t alarm = 0;
@@ -1161,7 +1161,7 @@
 TEST_F(BalancerTest, LessIsLetInAtOnceWhenServersGo) {
   const auto let_in = [&](int left) {
     Settings settings = MakeSettings();
-    settings.classes[3].worth = 10;
+    settings.classes[3].value = 10;
     Start(settings, 8);
     for (int i = 0; i < 100; ++i) {
       const std::string id = "a" + std::to_string(i);
@@ -1193,7 +1193,7 @@
       }
       const bool full = all || i % 2 == 0;
       balancer_->OnOutcome(now_, {id, 0, full ? Result::kRefused : Result::kSuccess, 10 * kMs, !full, {}});
-      if (full) balancer_->OnClientGone(now_, id);
+      if (full) balancer_->OnClientDisconnected(now_, id);
       sink_.Take();
     }
     if (all) {
@@ -1207,7 +1207,7 @@
 // Met in each overload: what clients had waited for past the aim was served before fresh requests.
 TEST_F(BalancerTest, UnderPressureFreshTriesGoBeforeThoseThatAreLateAlready) {
   Settings settings = MakeSettings();
-  settings.classes[0].late_worth = 0.25;
+  settings.classes[0].late_value = 0.25;
   Start(settings, 10);
   int fresh = 0;
   int late = 0;
@@ -1237,7 +1237,7 @@
   for (std::uint32_t rank = 0; rank < 40; ++rank) {
     Settings settings = MakeSettings();
     settings.rank = rank;
-    settings.siblings = 40;
+    settings.sidecar_count = 40;
     Start(settings, 20, rank);
     std::set<std::string> used;
     for (int i = 0; i < 300; ++i) used.insert(Arrive("r" + std::to_string(i))[0].server);
@@ -1266,7 +1266,7 @@
   const auto most_wait = [&](std::uint32_t siblings) {
     Settings settings = MakeSettings();
     settings.must_subscribe = true;
-    settings.siblings = siblings;
+    settings.sidecar_count = siblings;
     Micros most = 0;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
       std::string error;
@@ -1291,7 +1291,7 @@
   for (const std::uint32_t siblings : {3U, 300U, 14'000U}) {
     Settings settings = MakeSettings();
     settings.must_subscribe = true;
-    settings.siblings = siblings;
+    settings.sidecar_count = siblings;
     std::map<Micros, int> asks_in_second;  // of the whole fleet, from the common failure on
     for (std::uint32_t rank = 0; rank < siblings; ++rank) {
       settings.rank = rank;
@@ -1333,7 +1333,7 @@
   for (const std::uint32_t siblings : {3U, 40U, 300U}) {
     Settings settings = MakeSettings();
     settings.must_subscribe = true;
-    settings.siblings = siblings;
+    settings.sidecar_count = siblings;
     int ready_in_5s = 0;
     int ready_in_10s = 0;
     std::vector<int> late(kSidecars / siblings);  // by fleet: not ready in 10 s
@@ -1378,7 +1378,7 @@
     const auto calls = [&](const std::vector<ServerInfo>& known) {
       Settings settings = MakeSettings();
       settings.must_subscribe = true;
-      settings.siblings = siblings;
+      settings.sidecar_count = siblings;
       std::array<int, 50> by_tenth{};  // of a second
       for (std::uint64_t seed = 0; seed < 3000; ++seed) {
         std::string error;
@@ -1423,7 +1423,7 @@
 TEST_F(BalancerTest, AsksDiscoveryInTheTimeThatPressesAndOnce) {
   Settings settings = MakeSettings();
   settings.must_subscribe = true;
-  settings.siblings = 300;
+  settings.sidecar_count = 300;
   std::string error;
   balancer_ = Balancer::Create(settings, 7, now_, sink_, error);
   List(ListUpdate::Kind::kStale, MakeServers(4));
@@ -1451,7 +1451,7 @@
   EXPECT_TRUE(Resolve("r1", -1, Result::kRefused).empty());
   EXPECT_TRUE(Arrive("r1").empty());
   balancer_->OnTimer(now_, 999);
-  balancer_->OnClientGone(now_, "nobody");
+  balancer_->OnClientDisconnected(now_, "nobody");
   balancer_->OnResponseStarted(now_, "nobody", 0);
   EXPECT_TRUE(sink_.Take().empty());
   EXPECT_EQ(Arrive("r2", 99)[0].kind, Kind::kFail);
@@ -1462,10 +1462,10 @@
 TEST_F(BalancerTest, ForgetsARequestWhoseClientHasGoneOnceItsAttemptIsResolved) {
   Start(MakeSettings(), 4);
   Arrive("r1");
-  balancer_->OnClientGone(now_, "r1");
-  EXPECT_EQ(balancer_->requests_held(), 1u);
+  balancer_->OnClientDisconnected(now_, "r1");
+  EXPECT_EQ(balancer_->pending_request_count(), 1u);
   EXPECT_TRUE(Resolve("r1", 0, Result::kReset).empty());
-  EXPECT_EQ(balancer_->requests_held(), 0u);
+  EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
 TEST(BalancerSettings, RejectsWhatMakesNoSense) {
@@ -1474,9 +1474,9 @@
       {"negative time in class c", [](Settings& s) { s.classes[1].deadline = -1; }},
       {"unknown repeat kind in class c", [](Settings& s) { s.classes[0].repeat = static_cast<Repeat>(9); }},
       {"max_attempts under 1", [](Settings& s) { s.max_attempts = 0; }},
-      {"rank outside the number of sidecars", [](Settings& s) { s.rank = s.siblings; }},
-      {"cold_share outside (0, 1]", [](Settings& s) { s.cold_share = 0; }},
-      {"negative time", [](Settings& s) { s.warm_after = -1; }},
+      {"rank outside the number of sidecars", [](Settings& s) { s.rank = s.sidecar_count; }},
+      {"slow_start_share outside (0, 1]", [](Settings& s) { s.slow_start_share = 0; }},
+      {"negative time", [](Settings& s) { s.slow_start_duration = -1; }},
   };
   for (const auto& [expected, spoil] : cases) {
     Settings settings = MakeSettings();
--- a/tests/cold_fleet.hpp
+++ b/tests/cold_fleet.hpp
@@ -106,8 +106,9 @@
   double Warmth(const Server& server) const {
     const Settings& s = scene_.rules;
     const Micros age = now_ - server.info.started;
-    if (server.info.started == 0 || age >= s.warm_after) return 1;
-    return s.cold_share + (1 - s.cold_share) * static_cast<double>(age) / static_cast<double>(s.warm_after);
+    if (server.info.started == 0 || age >= s.slow_start_duration) return 1;
+    return s.slow_start_share +
+           (1 - s.slow_start_share) * static_cast<double>(age) / static_cast<double>(s.slow_start_duration);
   }
 
   void PlanMoment() {
@@ -124,7 +125,8 @@
     if (scene_.trouble == Trouble::kZoneCold) {
       for (int i = 0; i < scene_.servers; i += 2) plan(i, moment + (together ? 0 : dice_.Upto(500 * kMs)));
     } else if (scene_.trouble == Trouble::kRolling) {
-      const Micros step = std::min(scene_.rules.warm_after, scene_.end - scene_.moment) / scene_.servers;
+      const Micros step =
+          std::min(scene_.rules.slow_start_duration, scene_.end - scene_.moment) / scene_.servers;
       for (int i = 0; i < scene_.servers; ++i) plan(i, moment + i * step);
     } else {
       for (int i = 0; i < scene_.cold; ++i) {
@@ -327,7 +329,7 @@
     if (event.result == Result::kSuccess && event.start != server.starts) outcome.result = Result::kReset;
     if (outcome.result == Result::kSuccess) call.ended = true, ++count_.served;
     outcome.elapsed = now_ - event.sent;
-    outcome.settled = call.ended;
+    outcome.final_answer_sent = call.ended;
     if (scene_.rules.reports == Settings::Reports::kInAnswers && outcome.result == Result::kSuccess)
       outcome.load.cpu = std::min(1.0, static_cast<double>(server.finish.size()) / scene_.cores);
     sidecar.balancer->OnOutcome(now_, outcome);
@@ -337,19 +339,19 @@
   // what the settings allow it now; all that arrives counts. What falls stays down.
   void CountCold(Server& server, double work, bool told) {
     const Settings& s = scene_.rules;
-    if (server.info.started == 0 || now_ - server.info.started >= s.warm_after) return;
+    if (server.info.started == 0 || now_ - server.info.started >= s.slow_start_duration) return;
     ++count_.cold_sends;
     server.window.push_back({now_, work, told});
     server.sent += work;
     if (told) server.sent_told += work;
-    while (server.window.front().at <= now_ - s.fall_window) {
+    while (server.window.front().at <= now_ - s.overload_window) {
       server.sent -= server.window.front().work;
       if (server.window.front().told) server.sent_told -= server.window.front().work;
       server.window.pop_front();
     }
     ColdCount next;
     next.n =
-        s.overload_factor * Warmth(server) * Capacity(server) * static_cast<double>(s.fall_window) / kSec;
+        s.overload_factor * Warmth(server) * Capacity(server) * static_cast<double>(s.overload_window) / kSec;
     next.sent = server.sent;
     next.told = server.sent_told;
     next.fell = next.sent > next.most();
--- a/tests/cold_scene.hpp
+++ b/tests/cold_scene.hpp
@@ -145,18 +145,18 @@
   Scene scene;
   Settings& s = scene.rules;
   s = MakeSettings();
-  s.fall_window = static_cast<Micros>(dice.Between(1, 3) * kSec);
+  s.overload_window = static_cast<Micros>(dice.Between(1, 3) * kSec);
   s.overload_factor = dice.Between(2, 4);
-  s.cold_share = dice.Between(0.1, 0.4);
-  s.warm_after = s.fall_window + static_cast<Micros>(dice.Between(1, 7) * kSec);
+  s.slow_start_share = dice.Between(0.1, 0.4);
+  s.slow_start_duration = s.overload_window + static_cast<Micros>(dice.Between(1, 7) * kSec);
   scene.sidecars = 20 + dice.Below(11);
   scene.servers = 6 + dice.Below(15);
-  s.siblings = static_cast<std::uint32_t>(scene.sidecars);
+  s.sidecar_count = static_cast<std::uint32_t>(scene.sidecars);
   scene.load = dice.Between(0.5, 1.5);
   const double n = std::exp(dice.Between(std::log(0.7), std::log(120)));
-  const double seconds = static_cast<double>(s.fall_window) / kSec;
+  const double seconds = static_cast<double>(s.overload_window) / kSec;
   scene.capacity =
-      std::min(n / (s.overload_factor * s.cold_share * seconds), 500 / scene.load / scene.servers);
+      std::min(n / (s.overload_factor * s.slow_start_share * seconds), 500 / scene.load / scene.servers);
   scene.cores = 1 + dice.Below(std::clamp(static_cast<int>(scene.capacity), 1, 8));
   scene.trouble = static_cast<Trouble>(dice.Below(kTroubles));
   scene.burst = dice.Between(1.3, 2.5);
@@ -167,25 +167,25 @@
   if (scene.trouble == Trouble::kNone) scene.burst_time = 0;
   if (scene.trouble == Trouble::kLull) {
     scene.lull_time = static_cast<Micros>(dice.Between(1, 6) * kSec);
-    s.warm_after += scene.lull_time;
+    s.slow_start_duration += scene.lull_time;
     scene.end += scene.lull_time;
   }
   scene.told_within = static_cast<Micros>(dice.Between(0.02, 0.8) * kSec);
   scene.cold = dice.Chance(0.4) ? 1 : 1 + dice.Below(scene.servers / 2);
   scene.sizes = dice.Chance(0.5);
   scene.hinted = dice.Chance(0.5);
-  if (dice.Chance(0.4)) s.price_crossing = 0.1;
-  if (dice.Chance(0.5)) s.price_connection = 0.2;
-  if (dice.Chance(0.5)) s.price_waste = 0.3;
+  if (dice.Chance(0.4)) s.cost_cross_zone = 0.1;
+  if (dice.Chance(0.5)) s.cost_connection = 0.2;
+  if (dice.Chance(0.5)) s.cost_waste = 0.3;
   if (dice.Chance(0.5)) s.reports = Settings::Reports::kInAnswers;
   const Settings::Weights told = dice.Chance(0.5) ? Settings::Weights::kNominal : Settings::Weights::kRough;
   s.weights = scene.sizes ? told : Settings::Weights::kNone;
   const Micros service = static_cast<Micros>(scene.cores / scene.capacity * kSec);
   for (RequestClass& c : s.classes) {
-    c.aim = std::max<Micros>(5 * service, 300 * kMs);
-    c.deadline = 3 * c.aim;
-    c.dedup_window = 2 * c.aim;
-    c.worth = dice.Between(0.5, 4);
+    c.latency_target = std::max<Micros>(5 * service, 300 * kMs);
+    c.deadline = 3 * c.latency_target;
+    c.dedup_window = 2 * c.latency_target;
+    c.value = dice.Between(0.5, 4);
   }
   return scene;
 }
--- a/tests/cold_servers_test.cpp
+++ b/tests/cold_servers_test.cpp
@@ -60,9 +60,9 @@
 // The count has to see what it is there for: modules that are not told the rule, or too high a limit, break
 // it.
 TEST(ColdServers, TheCountSeesAModuleThatIsNotToldTheRule) {
-  EXPECT_GT(BrokenFleets(200, [](Settings& s) { s.warm_after = 0; }), 20);
+  EXPECT_GT(BrokenFleets(200, [](Settings& s) { s.slow_start_duration = 0; }), 20);
   EXPECT_GT(BrokenFleets(200, [](Settings& s) { s.overload_factor *= 20; }), 20);
-  EXPECT_GT(BrokenFleets(200, [](Settings& s) { s.cold_share = 1; }), 5);
+  EXPECT_GT(BrokenFleets(200, [](Settings& s) { s.slow_start_share = 1; }), 5);
 }
 
 TEST(ColdServers, TheSameSeedGivesTheSameFleet) {
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -51,10 +51,10 @@
 inline RequestClass MakeClass(Repeat repeat, DedupGroup group = DedupGroup::kAll) {
   RequestClass c;
   c.name = "c";
-  c.aim = 1 * kSec;
+  c.latency_target = 1 * kSec;
   c.deadline = 5 * kSec;
   c.repeat = repeat;
-  c.group = group;
+  c.dedup_group = group;
   c.dedup_window = 3 * kSec;
   return c;
 }
@@ -67,10 +67,10 @@
   s.max_attempts = 5;
   s.max_retry_after = 2 * kSec;
   s.drain_grace = 500 * kMs;
-  s.cold_share = 0.25;
-  s.warm_after = 8 * kSec;
+  s.slow_start_share = 0.25;
+  s.slow_start_duration = 8 * kSec;
   s.overload_factor = 4;
-  s.fall_window = 2 * kSec;
+  s.overload_window = 2 * kSec;
   s.ask_within = 10 * kSec;
   s.tick = 5 * kMs;
   return s;
--- a/tests/list_change_test.cpp
+++ b/tests/list_change_test.cpp
@@ -38,7 +38,7 @@
   ASSERT_NE(balancer, nullptr) << error;
   const std::vector<ServerInfo> all = ManyServers(listed);
   balancer->OnServers(0, {ListUpdate::Kind::kFull, 1, all});
-  EXPECT_EQ(balancer->list_walks(), 1U);
+  EXPECT_EQ(balancer->ring_rebuild_count(), 1U);
   std::int64_t generation = 1;
   for (int i = 0; i < 50; ++i) {
     for (const State state : {State::kDraining, State::kGone, State::kHealthy}) {
@@ -47,9 +47,9 @@
       balancer->OnServers(0, {ListUpdate::Kind::kDelta, ++generation, std::span(&changed, 1)});
     }
   }
-  EXPECT_EQ(balancer->list_walks(), 1U);
+  EXPECT_EQ(balancer->ring_rebuild_count(), 1U);
   balancer->OnServers(0, {ListUpdate::Kind::kDelta, ++generation, all});
-  EXPECT_EQ(balancer->list_walks(), listed > 100 ? 2U : 1U);
+  EXPECT_EQ(balancer->ring_rebuild_count(), listed > 100 ? 2U : 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(ListChanges, ListSize, ::testing::Values(3, 300, 14'000));
@@ -71,9 +71,9 @@
     std::mt19937_64 random(seed);
     const auto below = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
     Settings settings = MakeSettings();
-    settings.siblings = 5;
+    settings.sidecar_count = 5;
     settings.rank = 3;
-    settings.price_crossing =
+    settings.cost_cross_zone =
         seed % 2 == 0 ? 0.2 : 0;  // a ring of its own for the other zone, or one for all
     Recorder sinks[2];
     std::unique_ptr<Balancer> balancers[2];
@@ -106,7 +106,7 @@
       } else if (what == 2 && below(4) == 0) {
         const std::string id = Numbered(below(45)).id;
         const bool out = below(2) == 0;
-        for (const auto& balancer : balancers) balancer->OnBan(now, id, out);
+        for (const auto& balancer : balancers) balancer->SetAdminDown(now, id, out);
       } else if (what == 3 && !open.empty()) {
         const Result result = std::array{Result::kSuccess, Result::kReset, Result::kRefused}[below(3)];
         for (const auto& balancer : balancers)
@@ -122,9 +122,9 @@
       ASSERT_EQ(Told(sinks[0]), Told(sinks[1])) << "seed " << seed << ", step " << step;
       ASSERT_EQ(balancers[0]->servers_avoided(now), balancers[1]->servers_avoided(now));
     }
-    EXPECT_LT(balancers[0]->list_walks(), 30U);  // the whole list, and servers taken out by hand
-    EXPECT_GT(balancers[1]->list_walks(), 70U);
-    EXPECT_EQ(balancers[0]->Learned(), balancers[1]->Learned());  // of the same servers
+    EXPECT_LT(balancers[0]->ring_rebuild_count(), 30U);  // the whole list, and servers taken out by hand
+    EXPECT_GT(balancers[1]->ring_rebuild_count(), 70U);
+    EXPECT_EQ(balancers[0]->ExportLearnedState(), balancers[1]->ExportLearnedState());  // of the same servers
   }
 }
 
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -170,11 +170,11 @@
   Start({Chunk(Line(42, "s-a")) + half + "0\r\n\r\n", half}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
   const auto binds = discovery->binds_unheard();
-  EXPECT_EQ(discovery->unheard(), Unheard::kTold);
+  EXPECT_EQ(discovery->unheard(), MissedChanges::kAnnounced);
   discovery->Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return watches == 2; }));
   RunFor(io, 50ms);
-  EXPECT_EQ(discovery->unheard(), Unheard::kTold);
+  EXPECT_EQ(discovery->unheard(), MissedChanges::kAnnounced);
   server->peers[1]->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 2; }));
   EXPECT_EQ(discovery->binds_unheard(), binds);
@@ -189,7 +189,7 @@
   RunFor(io, 50ms);
   ScriptedServer silent(io);
   discovery->Switch(silent.address);
-  EXPECT_EQ(discovery->unheard(), Unheard::kTold);
+  EXPECT_EQ(discovery->unheard(), MissedChanges::kAnnounced);
   EXPECT_LE(discovery->binds_unheard(), ListAge::Clock::now());
 }
 
--- a/tests/net/list_age_test.cpp
+++ b/tests/net/list_age_test.cpp
@@ -91,15 +91,15 @@
 
 TEST_F(ListAgeTest, WhatWasCutOffIsKnownToBeToldUntilItIsHeard) {
   ListAge age = Asked();
-  EXPECT_EQ(age.unheard(), Unheard::kPossible);
-  age.CutOff(kStart + seconds(1), Unheard::kPossible);  // it made no sense
-  EXPECT_EQ(age.unheard(), Unheard::kPossible);
+  EXPECT_EQ(age.unheard(), MissedChanges::kPossible);
+  age.CutOff(kStart + seconds(1), MissedChanges::kPossible);  // it made no sense
+  EXPECT_EQ(age.unheard(), MissedChanges::kPossible);
   age.CutOff(kStart + seconds(1));
   age.CallEnded(End::kReset, kStart, kStart + seconds(1));
   age.CallEnded(End::kUnreachable, kStart + seconds(20), kStart + seconds(20));
-  EXPECT_EQ(age.unheard(), Unheard::kTold);
+  EXPECT_EQ(age.unheard(), MissedChanges::kAnnounced);
   age.Confirm(kStart + seconds(21));
-  EXPECT_EQ(age.unheard(), Unheard::kPossible);
+  EXPECT_EQ(age.unheard(), MissedChanges::kPossible);
 }
 
 // A process that starts during an outage has no connection that could break.
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -82,9 +82,9 @@
       if (ran != nullptr && c.repeat == Repeat::kNever) Breach("an effect may happen twice");
       if (ran != nullptr && c.repeat == Repeat::kDeduplicated) {
         if (now >= ran->sent + c.dedup_window) Breach("repeated after the window");
-        if (c.group == DedupGroup::kZone && ran->zone != server.info.zone)
+        if (c.dedup_group == DedupGroup::kZone && ran->zone != server.info.zone)
           Breach("repeated outside the group");
-        if (c.group == DedupGroup::kCell && ran->cell != server.info.cell)
+        if (c.dedup_group == DedupGroup::kCell && ran->cell != server.info.cell)
           Breach("repeated outside the group");
       }
       seen.tries.push_back({now, server.info.zone, server.info.cell, true, true});
@@ -92,7 +92,7 @@
     }
     if (now > seen.deadline + slack_) Breach("answered late");
     if (action.kind == Kind::kRefuse && ran != nullptr && c.repeat != Repeat::kSafe &&
-        !(c.repeat == Repeat::kDeduplicated && c.group == DedupGroup::kAll))
+        !(c.repeat == Repeat::kDeduplicated && c.dedup_group == DedupGroup::kAll))
       Breach("refused what may have run");
     seen.ended = true;
   }
@@ -240,7 +240,7 @@
       const std::string& id = alive[static_cast<std::size_t>(below(static_cast<int>(alive.size())))];
       if (settled.insert(id).second) {
         checker.Gone(id);
-        balancer->OnClientGone(now, id);
+        balancer->OnClientDisconnected(now, id);
         collect();
       }
     } else {
@@ -274,7 +274,7 @@
   }
   checker.Finish();
   story.breaches = checker.breaches();
-  story.held = balancer->requests_held();
+  story.held = balancer->pending_request_count();
   return story;
 }
 
@@ -283,10 +283,10 @@
   Settings ask = MakeSettings();
   ask.must_subscribe = true;
   ask.zone = 0;
-  ask.price_crossing = 0.2;
-  for (RequestClass& c : ask.classes) c.worth = 3;
+  ask.cost_cross_zone = 0.2;
+  for (RequestClass& c : ask.classes) c.value = 3;
   Settings cell = MakeSettings();
-  cell.classes[1].group = DedupGroup::kCell;
+  cell.classes[1].dedup_group = DedupGroup::kCell;
   cell.max_attempts = 2;
   cell.max_retry_after = 0;
   Settings full = MakeSettings();
@@ -296,7 +296,7 @@
   order.classes[0].sequential = order.classes[1].sequential = order.classes[2].sequential = true;
   Settings both = order;
   both.refused_may_have_run = true;
-  both.classes[1].group = DedupGroup::kCell;
+  both.classes[1].dedup_group = DedupGroup::kCell;
   both.settle_after_doubt = 0;
   both.must_subscribe = true;
   return {push, ask, cell, full, order, both};
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -163,7 +163,7 @@
           .settings;
   EXPECT_EQ(s.connection_idle, 5);
   EXPECT_EQ(s.dial_timeout, 6);
-  EXPECT_EQ(s.most_open, 7);
+  EXPECT_EQ(s.max_open_requests, 7);
   EXPECT_EQ(s.cpu_per_s, 8);
   EXPECT_EQ(s.cpu_per_request, 9.5);
   EXPECT_TRUE(s.clients_mark_repeats);
@@ -172,12 +172,12 @@
   EXPECT_EQ(s.weights, Settings::Weights::kLive);
   EXPECT_TRUE(s.refused_may_have_run);
   EXPECT_EQ(s.settle_after_doubt, 10);
-  EXPECT_EQ(s.price_handshake, 0.1);
-  EXPECT_EQ(s.price_probe, 0.2);
-  EXPECT_EQ(s.price_peer, 0.3);
-  EXPECT_EQ(s.price_discovery, 0.4);
-  EXPECT_EQ(s.price_moves, 0.5);
-  EXPECT_EQ(s.price_origin, 0.6);
+  EXPECT_EQ(s.cost_handshake, 0.1);
+  EXPECT_EQ(s.cost_probe, 0.2);
+  EXPECT_EQ(s.cost_peer, 0.3);
+  EXPECT_EQ(s.cost_membership_mode, 0.4);
+  EXPECT_EQ(s.cost_moves, 0.5);
+  EXPECT_EQ(s.cost_origin, 0.6);
   EXPECT_EQ(s.goal_whole, 0.7);
   EXPECT_EQ(s.goal_worst_window, 0.8);
   EXPECT_EQ(s.goal_worst_class, 0.9);
