--- a/src/bans.hpp
+++ b/src/bans.hpp
@@ -13,49 +13,49 @@
 namespace merlinrun {
 
 // Servers are named by their id; times are in microseconds of the module's clock.
-class Bans {
+class AdminDownServers {
  public:
   // `started`: as the list has it, empty if the server was never listed. False if it is out already.
-  bool TakeOut(std::string_view id, std::optional<Micros> started) {
-    const auto ban = bans_.find(id);
-    if (ban != bans_.end() && ban->second.out) return false;
-    bans_.insert_or_assign(std::string(id), Ban{true, started, 0});
+  bool SetDown(std::string_view id, std::optional<Micros> started) {
+    const auto entry = entries_.find(id);
+    if (entry != entries_.end() && entry->second.down) return false;
+    entries_.insert_or_assign(std::string(id), Entry{true, started, 0});
     return true;
   }
   // False if it is not out.
-  bool PutBack(std::string_view id, Micros now) {
-    const auto ban = bans_.find(id);
-    if (ban == bans_.end() || !ban->second.out) return false;
-    ban->second.out = false;
-    ban->second.back_at = now;
+  bool SetUp(std::string_view id, Micros now) {
+    const auto entry = entries_.find(id);
+    if (entry == entries_.end() || !entry->second.down) return false;
+    entry->second.down = false;
+    entry->second.up_since = now;
     return true;
   }
   // The list tells of a server. Its first start to be told is the one that was banned.
   void OnListed(std::string_view id, Micros started) {
-    const auto ban = bans_.find(id);
-    if (ban != bans_.end() && !ban->second.started) ban->second.started = started;
+    const auto entry = entries_.find(id);
+    if (entry != entries_.end() && !entry->second.listed_start) entry->second.listed_start = started;
   }
 
-  bool IsOut(std::string_view id) const {
-    const auto ban = bans_.find(id);
-    return ban != bans_.end() && ban->second.out;
+  bool IsDown(std::string_view id) const {
+    const auto entry = entries_.find(id);
+    return entry != entries_.end() && entry->second.down;
   }
   // When a server started, as far as is known. Guards against taking one for warm that was restarted while it
   // was out: the list tells it late.
-  Micros Started(std::string_view id, Micros listed) const {
-    const auto ban = bans_.find(id);
-    const bool told = ban == bans_.end() || ban->second.started.value_or(listed) != listed;
-    return told ? listed : std::max(listed, ban->second.back_at);
+  Micros StartTime(std::string_view id, Micros listed) const {
+    const auto entry = entries_.find(id);
+    const bool use_listed = entry == entries_.end() || entry->second.listed_start.value_or(listed) != listed;
+    return use_listed ? listed : std::max(listed, entry->second.up_since);
   }
 
  private:
-  struct Ban {
-    bool out = true;
-    std::optional<Micros> started;  // as listed when it was taken out; another start is news
-    Micros back_at = 0;
+  struct Entry {
+    bool down = true;
+    std::optional<Micros> listed_start;  // as listed when it was taken out; another start is news
+    Micros up_since = 0;
   };
 
-  std::map<std::string, Ban, std::less<>> bans_;
+  std::map<std::string, Entry, std::less<>> entries_;
 };
 
 }  // namespace merlinrun
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -32,16 +32,17 @@
   return result == Result::kSuccess || result == Result::kError || result == Result::kRefused;
 }
 
-Micros Doubled(Micros base, int n, Micros cap) {
-  return std::min(cap, base << std::min(n, 20));  // 20: far past any cap, short of overflow
+Micros ExponentialBackoff(Micros base, int exponent, Micros cap) {
+  return std::min(cap, base << std::min(exponent, 20));  // 20: far past any cap, short of overflow
 }
 
 // The window is of fixed size for all but the busiest sidecars. One that has more attempts out than window
 // servers takes a longer run of the ring, by its own traffic and never by the fleet's size: else a few busy
 // callers choke the servers of their windows while others idle.
-std::size_t Width(const Pool& pool, const Settings& set) {
-  const double per_out = set.cost_connection > 0 ? kServersPerOut : kServersPerOutFree;
-  return std::min(std::max(kWindowWidth, static_cast<std::size_t>(per_out * pool.out_peak)),
+std::size_t WindowSize(const Pool& pool, const Settings& settings) {
+  const double per_in_flight =
+      settings.cost_connection > 0 ? kWindowServersPerInFlight : kWindowServersPerInFlightAtNoCost;
+  return std::min(std::max(kMinWindowServers, static_cast<std::size_t>(per_in_flight * pool.in_flight_peak)),
                   pool.ring.size());
 }
 
@@ -50,70 +51,74 @@
 class Balancer::State {
  public:
   State(const Settings& settings, std::uint64_t seed, Micros now, ActionSink& sink)
-      : set_(settings),
+      : settings_(settings),
         sink_(sink),
         random_(seed),
         now_(now),
-        outdated_(settings),
-        load_(settings.classes.size()),
-        served_at_(now) {}
+        stale_list_guard_(settings),
+        class_loads_(settings.classes.size()),
+        rate_updated_at_(now) {}
 
-  State& At(Micros now) { return now_ = std::max(now_, now), *this; }
+  State& AdvanceTo(Micros now) { return now_ = std::max(now_, now), *this; }
 
   // ---- The list of servers and the window on its ring ----
 
   void OnServers(const ListUpdate& update) {
     if (update.kind == ListUpdate::Kind::kFailed) {
-      const Micros most = Doubled(std::max(kAskBase, kSecond * set_.sidecar_count / kAsksPerSecond),
-                                  asks_failed_++, set_.ask_within);
-      return AskLater(std::min(most, update.ask_within.value_or(most)));
+      const Micros max_delay = ExponentialBackoff(
+          std::max(kSubscribeRetryBase, kSecond * settings_.sidecar_count / kSubscribesPerSecond),
+          failed_subscribes_++, settings_.ask_within);
+      return ScheduleSubscribe(std::min(max_delay, update.ask_within.value_or(max_delay)));
     }
     if (update.kind != ListUpdate::Kind::kDelta)
       for (auto& [id, server] : servers_) server.listed = false;
-    const bool walk = update.kind != ListUpdate::Kind::kDelta || update.servers.size() > kMostPlaced;
+    const bool rebuild =
+        update.kind != ListUpdate::Kind::kDelta || update.servers.size() > kMaxIncrementalChanges;
     for (const ServerInfo& info : update.servers) {
       Server& server = servers_[info.id];
-      if (!walk) pools_[server.pool].Drop(server);
+      if (!rebuild) pools_[server.pool].Remove(server);
       if (info.started != server.info.started)  // new here, or its process is: chance decides who starts it
-        server.credit = {random_.Unit(), served_, now_};
+        server.slow_start_credit = {random_.Unit(), served_count_, now_};
       server.info = info;
-      bans_.OnListed(info.id, info.started);
-      server.pool = set_.cost_cross_zone >= kCrossingPriced && info.zone != set_.zone ? 1 : 0;
+      admin_down_.OnListed(info.id, info.started);
+      server.pool = settings_.cost_cross_zone >= kMinCrossZoneCost && info.zone != settings_.zone ? 1 : 0;
       server.listed = info.state != ServerInfo::State::kGone;
-      if (!walk) Place(server);
+      if (!rebuild) AddToRingIfEligible(server);
     }
-    if (walk) PlaceAll();
-    Settle();
-    if (update.kind != ListUpdate::Kind::kStale) return void(asks_failed_ = 0);
+    if (rebuild) RebuildRings();
+    UpdateWindows();
+    if (update.kind != ListUpdate::Kind::kStale) return void(failed_subscribes_ = 0);
     // A fresh start: spread, as all sidecars may have started together; soon where nobody is served until the
     // answer. One that takes over starts alone, and news that its predecessor has been told binds it too.
-    const Micros spread = set_.ask_within / 2;
-    AskLater(set_.takes_over ? 0 : NoServer() ? std::min(kAskBase, spread) : spread);
+    const Micros max_spread = settings_.ask_within / 2;
+    ScheduleSubscribe(settings_.takes_over ? 0
+                      : NoServerListed()   ? std::min(kSubscribeRetryBase, max_spread)
+                                           : max_spread);
   }
 
   // What was not heard of the list binds from then on; empty while the list is current.
   void OnListStaleness(std::optional<Micros> effective_from, MissedChanges missed) {
-    if (effective_from) return outdated_.BindsFrom(*effective_from, missed);
-    if (outdated_.held_since()) LogHeld("in use again", *outdated_.held_since());
-    outdated_.Current();
+    if (effective_from) return stale_list_guard_.SetStale(*effective_from, missed);
+    if (stale_list_guard_.paused_since()) LogDispatchPause("in use again", *stale_list_guard_.paused_since());
+    stale_list_guard_.SetCurrent();
   }
 
   // Guards against sending to a server whose drain was never heard of.
   bool DispatchPaused() {
-    const bool held_before = outdated_.held_since().has_value();
-    const bool holds = outdated_.Holds(now_);
-    if (holds && !held_before) LogHeld("out of date", now_);
-    return holds;
+    const bool was_paused = stale_list_guard_.paused_since().has_value();
+    const bool paused = stale_list_guard_.DispatchPaused(now_);
+    if (paused && !was_paused) LogDispatchPause("out of date", now_);
+    return paused;
   }
 
-  void LogHeld(const char* state, Micros since) {
+  void LogDispatchPause(const char* state, Micros since) {
     char text[80];
     std::snprintf(text, sizeof text, "list: %s; requests held back since %.3f s ago", state,
                   static_cast<double>(now_ - since) / kSecond);
     sink_.Log(text);
   }
 
-  bool NoServer() const { return pools_[0].ring.empty() && pools_[1].ring.empty(); }
+  bool NoServerListed() const { return pools_[0].ring.empty() && pools_[1].ring.empty(); }
 
   // ---- Servers out by hand ----
 
@@ -121,53 +126,53 @@
     const auto server = servers_.find(std::string(id));
     const bool known = server != servers_.end();
     if (down) {
-      if (!bans_.TakeOut(id, known ? std::optional(server->second.info.started) : std::nullopt)) return;
+      if (!admin_down_.SetDown(id, known ? std::optional(server->second.info.started) : std::nullopt)) return;
     } else {
-      if (!bans_.PutBack(id, now_)) return;
-      if (known) Renew(server->second);
+      if (!admin_down_.SetUp(id, now_)) return;
+      if (known) DiscardStatistics(server->second);
     }
-    PlaceAll();
-    Settle();
+    RebuildRings();
+    UpdateWindows();
   }
 
   // Its process is another one: what was seen of the old one says nothing of it.
-  void Renew(Server& server) {
+  void DiscardStatistics(Server& server) {
     Server fresh;
     fresh.info = server.info;
     fresh.pool = server.pool;
     fresh.listed = server.listed;
-    fresh.out = server.out;
-    fresh.credit = {random_.Unit(), served_, now_};
+    fresh.in_flight = server.in_flight;
+    fresh.slow_start_credit = {random_.Unit(), served_count_, now_};
     server = fresh;
   }
 
-  bool Banned(const Server& server) const { return bans_.IsOut(server.info.id); }
+  bool IsAdminDown(const Server& server) const { return admin_down_.IsDown(server.info.id); }
 
   // On the ring, if it may be sent to. One that is gone is kept while attempts at it are out.
-  void Place(Server& server) {
-    if (!server.listed) leaving_.push_back(server.info.id);
-    if (server.listed && server.info.state == ServerInfo::State::kHealthy && !Banned(server))
-      pools_[server.pool].Put(server);
+  void AddToRingIfEligible(Server& server) {
+    if (!server.listed) unlisted_.push_back(server.info.id);
+    if (server.listed && server.info.state == ServerInfo::State::kHealthy && !IsAdminDown(server))
+      pools_[server.pool].Add(server);
   }
 
-  void PlaceAll() {
-    ++walks_;
-    leaving_.clear();
+  void RebuildRings() {
+    ++ring_rebuilds_;
+    unlisted_.clear();
     for (Pool& pool : pools_) pool.ring.clear();
-    for (auto& [id, server] : servers_) Place(server);
+    for (auto& [id, server] : servers_) AddToRingIfEligible(server);
   }
 
-  void Settle() {
-    std::erase_if(leaving_, [this](const std::string& id) {
+  void UpdateWindows() {
+    std::erase_if(unlisted_, [this](const std::string& id) {
       const auto it = servers_.find(id);
       if (it == servers_.end() || it->second.listed) return true;
-      return it->second.out == 0 && servers_.erase(id) > 0;
+      return it->second.in_flight == 0 && servers_.erase(id) > 0;
     });
     for (Pool& pool : pools_) {
-      Rescale(pool, std::exchange(pool.settled, pool.ring.size()));
+      ScaleAdmission(pool, std::exchange(pool.ring_size_before, pool.ring.size()));
       // Ranks are spread evenly over the ring; a server that comes or goes shifts each window by one at most.
-      pool.offset = static_cast<std::size_t>(static_cast<std::uint64_t>(set_.rank) * pool.ring.size() /
-                                             set_.sidecar_count);
+      pool.window_offset = static_cast<std::size_t>(static_cast<std::uint64_t>(settings_.rank) *
+                                                    pool.ring.size() / settings_.sidecar_count);
     }
   }
 
@@ -175,261 +180,273 @@
 
   // Guards against a successor that takes an overload for what is usual, as it begins in the middle of it.
   std::string ExportLearnedState() {
-    std::string text = MarkOf(set_) + "\n";
+    std::string text = LearnedStateHeader(settings_) + "\n";
     const auto write = [&](double value) {
       char digits[32];
       std::snprintf(digits, sizeof digits, "%.9g ", value);
       text += digits;
     };
-    EachLearnt(write);
+    VisitLearnedState(write);
     for (auto& [id, server] : servers_) {
       if (id.find_first_of(" \n") != std::string::npos) continue;
       text += "\n" + id + " ";
-      EachLearnt(server, write);
+      VisitLearnedState(server, write);
     }
     return text + "\n.\n";
   }
 
   // All or nothing: it is read twice, and taken the second time.
   bool RestoreLearnedState(std::string_view learned) {
-    const std::string mark = MarkOf(set_) + "\n";
-    if (learned.substr(0, mark.size()) != mark) return false;
-    learned.remove_prefix(mark.size());
-    for (const bool take : {false, true}) {
+    const std::string header = LearnedStateHeader(settings_) + "\n";
+    if (learned.substr(0, header.size()) != header) return false;
+    learned.remove_prefix(header.size());
+    for (const bool commit : {false, true}) {
       std::istringstream in{std::string(learned)};
       const auto read = [&](double& value) {
         double next = -1;
         if (!(in >> next) || !(next >= 0)) in.setstate(std::ios::failbit);
-        if (take) value = next;
+        if (commit) value = next;
       };
-      EachLearnt(read);
+      VisitLearnedState(read);
       std::string id;
       while (in >> id && id != ".") {
         const auto server = servers_.find(id);
-        Server other;
-        EachLearnt(server == servers_.end() ? other : server->second, read);
+        Server discarded;
+        VisitLearnedState(server == servers_.end() ? discarded : server->second, read);
       }
       if (!in || id != ".") return false;
     }
-    for (Pool& pool : pools_) pool.limited = KnowsOut(pool);
+    for (Pool& pool : pools_) pool.concurrency_limited = HasConcurrencyLimit(pool);
     return true;
   }
 
   template <typename Visit>
-  void EachLearnt(Visit visit) {
+  void VisitLearnedState(Visit visit) {
     for (Pool& pool : pools_)
-      for (double* value : {&pool.admit, &pool.out_each, &pool.outs, &pool.usual, &pool.unloaded,
-                            &pool.answers, &pool.elapsed.value, &pool.elapsed.seen})
+      for (double* value : {&pool.admission, &pool.in_flight_per_server, &pool.in_flight_samples,
+                            &pool.latency_ratio, &pool.unloaded_latency_ratio, &pool.latency_samples,
+                            &pool.answer_time.value, &pool.answer_time.samples})
         visit(*value);
-    for (ClassLoad& load : load_)
-      for (double* value :
-           {&load.work.value, &load.work.seen, &load.answer.value, &load.answer.seen, &load.arriving})
+    for (ClassLoad& load : class_loads_)
+      for (double* value : {&load.mean_work.value, &load.mean_work.samples, &load.answer_time.value,
+                            &load.answer_time.samples, &load.arriving_work})
         visit(*value);
-    for (Mean* mean : {&mean_worth_, &mean_density_, &served_by_size_}) visit(mean->value), visit(mean->seen);
+    for (FadingMean* mean : {&mean_value_, &mean_value_density_, &served_rate_per_weight_})
+      visit(mean->value), visit(mean->samples);
   }
   template <typename Visit>
-  void EachLearnt(Server& server, Visit visit) {
-    visit(server.pace.taken), visit(server.pace.usual);
-    server.failing.resize(load_.size());
-    server.refuses.resize(load_.size());
-    for (double& share : server.failing) visit(share);
-    for (double& share : server.refuses) visit(share);
+  void VisitLearnedState(Server& server, Visit visit) {
+    visit(server.relative_latency.measured), visit(server.relative_latency.expected);
+    server.failure_rates.resize(class_loads_.size());
+    server.refusal_rates.resize(class_loads_.size());
+    for (double& share : server.failure_rates) visit(share);
+    for (double& share : server.refusal_rates) visit(share);
   }
 
   // ---- A request's life ----
 
   void OnRequest(const Request& in) {
-    if (in.request_class < 0 || static_cast<std::size_t>(in.request_class) >= load_.size())
+    if (in.request_class < 0 || static_cast<std::size_t>(in.request_class) >= class_loads_.size())
       return sink_.Fail(in.id);
-    auto [it, fresh] = held_.try_emplace(std::string(in.id));
-    if (!fresh) return;
-    Held& held = it->second;
-    held.request_class = static_cast<std::size_t>(in.request_class);
-    held.arrived = now_;
-    held.deadline = now_ + in.budget;
-    held.partial = in.body_pending;
-    ClassLoad& load = load_[held.request_class];
-    load.longest_budget = std::max(load.longest_budget, in.budget);
-    held.late = in.budget < load.longest_budget - set_.tick &&
-                ClassOf(held).deadline - in.budget >= ClassOf(held).latency_target;
-    CountArrival(held, in.cost);
-    if (ClassOf(held).sequential && !in.key.empty()) lines_[held.key = in.key].push_back(it->first);
-    const bool hopeless = Hopeless(held);
-    hopeless_ += hopeless;
-    const bool let_in = !hopeless && LetIn(held);
-    LogAdmission(held, let_in);
-    if (!let_in) return End(it);
-    SendOrWait(it);
+    auto [it, inserted] = pending_.try_emplace(std::string(in.id));
+    if (!inserted) return;
+    PendingRequest& request = it->second;
+    request.request_class = static_cast<std::size_t>(in.request_class);
+    request.arrived = now_;
+    request.deadline = now_ + in.budget;
+    request.body_pending = in.body_pending;
+    ClassLoad& load = class_loads_[request.request_class];
+    load.max_budget = std::max(load.max_budget, in.budget);
+    request.already_late = in.budget < load.max_budget - settings_.tick &&
+                           ClassOf(request).deadline - in.budget >= ClassOf(request).latency_target;
+    CountArrival(request, in.cost);
+    if (ClassOf(request).sequential && !in.key.empty())
+      key_queues_[request.key = in.key].push_back(it->first);
+    const bool infeasible = IsInfeasible(request);
+    infeasible_count_ += infeasible;
+    const bool admitted = !infeasible && Admit(request);
+    LogAdmission(request, admitted);
+    if (!admitted) return Finish(it);
+    SendOrRetryLater(it);
   }
 
   void OnOutcome(const Outcome& outcome) {
-    auto it = held_.find(std::string(outcome.request));
-    if (it == held_.end()) return;
-    Held& held = it->second;
-    if (outcome.attempt < 0 || static_cast<std::size_t>(outcome.attempt) >= held.attempts.size()) return;
-    Attempt& attempt = held.attempts[static_cast<std::size_t>(outcome.attempt)];
-    if (!attempt.out) return;
-    attempt.out = false;
-    attempt.may_have_run = !ProvesNeverRan(outcome.result, set_.refused_may_have_run);
-    --attempt.server->out;
-    --pools_[attempt.server->pool].out;
-    const bool stays = attempt.server->listed && attempt.server->info.state == ServerInfo::State::kHealthy;
-    if (outcome.result == Result::kSuccess && stays) LearnServed(pools_[attempt.server->pool]);
-    if (Answered(outcome.result)) attempt.server->heard_at = now_;
-    if (outcome.load.cpu) attempt.server->busy = *outcome.load.cpu >= kCoresBusy;
-    Judge(held, *attempt.server, attempt.sent, outcome);
-    if (!attempt.felt) Feel(held, *attempt.server, outcome);
+    auto it = pending_.find(std::string(outcome.request));
+    if (it == pending_.end()) return;
+    PendingRequest& request = it->second;
+    if (outcome.attempt < 0 || static_cast<std::size_t>(outcome.attempt) >= request.attempts.size()) return;
+    Attempt& attempt = request.attempts[static_cast<std::size_t>(outcome.attempt)];
+    if (!attempt.in_flight) return;
+    attempt.in_flight = false;
+    attempt.may_have_run = !ProvesNeverRan(outcome.result, settings_.refused_may_have_run);
+    --attempt.server->in_flight;
+    --pools_[attempt.server->pool].in_flight;
+    const bool still_listed =
+        attempt.server->listed && attempt.server->info.state == ServerInfo::State::kHealthy;
+    if (outcome.result == Result::kSuccess && still_listed) CountServed(pools_[attempt.server->pool]);
+    if (Answered(outcome.result)) attempt.server->last_answer_at = now_;
+    if (outcome.load.cpu) attempt.server->cores_busy = *outcome.load.cpu >= kBusyCpuShare;
+    UpdateServerStatistics(request, *attempt.server, attempt.sent, outcome);
+    if (!attempt.overload_counted) UpdateAdmission(request, *attempt.server, outcome);
     if (outcome.result == Result::kTimeout || outcome.result == Result::kReset ||
         outcome.result == Result::kCancelled)
-      held.settled_at = now_ + set_.settle_after_doubt;
-    if (outcome.final_answer_sent) held.ended = true;
-    if (held.ended || held.AnyOut()) return Release(it);
-    if (outcome.body_consumed) return End(it);
+      request.key_held_until = now_ + settings_.settle_after_doubt;
+    if (outcome.final_answer_sent) request.ended = true;
+    if (request.ended || request.HasAttemptInFlight()) return RemoveIfDone(it);
+    if (outcome.body_consumed) return Finish(it);
     switch (outcome.result) {
       case Result::kRefused:
       case Result::kUnreachable:
       case Result::kReset:
-        return Wait(it);
+        return RetryLaterOrFinish(it);
       case Result::kSuccess:  // unsettled: not legal, and an end is owed all the same
       case Result::kError:
       case Result::kTimeout:
       case Result::kCancelled:
       case Result::kNeverSent:
-        return End(it);
+        return Finish(it);
     }
   }
 
   // A request is timed from its last byte, and so is its attempt.
   void OnRequestBodyComplete(std::string_view request, Micros budget) {
-    auto it = held_.find(std::string(request));
-    if (it == held_.end() || !std::exchange(it->second.partial, false)) return;
+    auto it = pending_.find(std::string(request));
+    if (it == pending_.end() || !std::exchange(it->second.body_pending, false)) return;
     it->second.arrived = now_;
     it->second.deadline = now_ + budget;
-    if (it->second.AnyOut()) Alarm(it, ClassOf(it->second).latency_target);
+    if (it->second.HasAttemptInFlight()) SetRequestTimer(it, ClassOf(it->second).latency_target);
   }
 
   void OnClientDisconnected(std::string_view request) {
-    auto it = held_.find(std::string(request));
-    if (it == held_.end()) return;
+    auto it = pending_.find(std::string(request));
+    if (it == pending_.end()) return;
     it->second.ended = true;
-    Release(it);
+    RemoveIfDone(it);
   }
 
   void OnTimer(std::uint64_t token) {
-    if (token == kAskToken) {
-      if (!ask_at_ || now_ < *ask_at_) return;  // asked already, or planned anew
-      ask_at_.reset();
+    if (token == kSubscribeToken) {
+      if (!next_subscribe_at_ || now_ < *next_subscribe_at_) return;  // asked already, or planned anew
+      next_subscribe_at_.reset();
       return sink_.Subscribe();
     }
     auto timer = timers_.find(token);
     if (timer == timers_.end()) return;
-    auto it = held_.find(timer->second);
+    auto it = pending_.find(timer->second);
     timers_.erase(timer);
-    if (it == held_.end() || it->second.timer != token) return;
-    if (it->second.ended) return Release(it);
-    if (it->second.AnyOut()) return FeelLate(it->second);
-    if (!HasTurn(it)) return End(it);  // it has waited for its turn as long as its client waits
-    SendOrWait(it);
+    if (it == pending_.end() || it->second.timer_token != token) return;
+    if (it->second.ended) return RemoveIfDone(it);
+    if (it->second.HasAttemptInFlight()) return OnLatencyTargetMissed(it->second);
+    if (!IsNextForKey(it)) return Finish(it);  // it has waited for its turn as long as its client waits
+    SendOrRetryLater(it);
   }
 
-  std::size_t size() const { return held_.size(); }
-  std::uint64_t walks() const { return walks_; }
+  std::size_t pending_request_count() const { return pending_.size(); }
+  std::uint64_t ring_rebuild_count() const { return ring_rebuilds_; }
 
-  std::size_t Avoided() const {
+  std::size_t ServersAvoided() const {
     return static_cast<std::size_t>(
         std::count_if(servers_.begin(), servers_.end(), [this](const auto& entry) {
-          return entry.second.listed && (Banned(entry.second) || Away(entry.second));
+          return entry.second.listed && (IsAdminDown(entry.second) || IsEjected(entry.second));
         }));
   }
 
  private:
-  using HeldIt = std::unordered_map<std::string, Held>::iterator;
-  static constexpr std::uint64_t kAskToken = 0;
+  using PendingIt = std::unordered_map<std::string, PendingRequest>::iterator;
+  static constexpr std::uint64_t kSubscribeToken = 0;
 
-  const RequestClass& ClassOf(const Held& held) const { return set_.classes[held.request_class]; }
+  const RequestClass& ClassOf(const PendingRequest& request) const {
+    return settings_.classes[request.request_class];
+  }
 
   // Requests with one key go in order of arrival: only the first in line may be sent.
-  bool HasTurn(HeldIt it) const {
-    return it->second.key.empty() || lines_.at(it->second.key).front() == it->first;
+  bool IsNextForKey(PendingIt it) const {
+    return it->second.key.empty() || key_queues_.at(it->second.key).front() == it->first;
   }
 
-  void SendOrWait(HeldIt it) {
-    Held& held = it->second;
-    held.timer = 0;  // a turn may come before the alarm that was set for its failing to come
-    if (!HasTurn(it)) return Alarm(it, std::max<Micros>(held.deadline - now_ - 2 * set_.tick, 0));
-    Server* server = held.deadline > now_ && !DispatchPaused() ? Choose(held) : nullptr;
-    if (server == nullptr) return Wait(it);
+  void SendOrRetryLater(PendingIt it) {
+    PendingRequest& request = it->second;
+    request.timer_token = 0;  // a turn may come before the alarm that was set for its failing to come
+    if (!IsNextForKey(it))
+      return SetRequestTimer(it, std::max<Micros>(request.deadline - now_ - 2 * settings_.tick, 0));
+    Server* server = request.deadline > now_ && !DispatchPaused() ? ChooseServer(request) : nullptr;
+    if (server == nullptr) return RetryLaterOrFinish(it);
     // Spent where it is sent to, not where it is drawn: a draw that another server wins must cost it nothing.
-    server->credit.left = std::max(server->credit.left - 1, 0.0);
-    if (server->out++ == 0) server->heard_at = now_;
+    server->slow_start_credit.available = std::max(server->slow_start_credit.available - 1, 0.0);
+    if (server->in_flight++ == 0) server->last_answer_at = now_;
     Pool& pool = pools_[server->pool];
-    pool.out_peak = std::max(static_cast<double>(++pool.out), pool.out_peak * (1 - 1 / kMixMemory));
-    held.attempts.push_back({server, server->info.zone, server->info.cell, now_});
-    sink_.Send(it->first, server->info.id, TimeOut(held));
-    const Micros late = held.arrived + ClassOf(held).latency_target - now_;
-    if (late > 0 && !held.partial) Alarm(it, late);
+    pool.in_flight_peak =
+        std::max(static_cast<double>(++pool.in_flight), pool.in_flight_peak * (1 - 1 / kArrivalMemory));
+    request.attempts.push_back({server, server->info.zone, server->info.cell, now_});
+    sink_.Send(it->first, server->info.id, AttemptTimeout(request));
+    const Micros time_to_target = request.arrived + ClassOf(request).latency_target - now_;
+    if (time_to_target > 0 && !request.body_pending) SetRequestTimer(it, time_to_target);
   }
 
   // An attempt is given up when its answer would be worth nothing. Guards against servers kept busy with what
   // comes late, and tells early of those that hang.
-  Micros TimeOut(const Held& held) const {
-    const RequestClass& c = ClassOf(held);
+  Micros AttemptTimeout(const PendingRequest& request) const {
+    const RequestClass& c = ClassOf(request);
     if (c.latency_target <= 0 || c.late_value > 0 || c.latency_target_stretch > 0) return 0;
-    return held.partial ? c.latency_target
-                        : std::max<Micros>(held.arrived + c.latency_target - now_, set_.tick);
+    return request.body_pending ? c.latency_target
+                                : std::max<Micros>(request.arrived + c.latency_target - now_, settings_.tick);
   }
 
   // ---- Overload: which work is let in ----
 
   // Under pressure the work of least worth is refused first, before it fills a queue. Guards against servers
   // that choke and against answers that all come late, each retried by its client on top of the load.
-  bool LetIn(Held& held) {
-    const std::size_t own = held.request_class;
-    for (held.pool = 0; held.pool < pools_.size(); ++held.pool) {
-      Pool& pool = pools_[held.pool];
+  bool Admit(PendingRequest& request) {
+    const std::size_t class_index = request.request_class;
+    for (request.pool = 0; request.pool < pools_.size(); ++request.pool) {
+      Pool& pool = pools_[request.pool];
       // All that was let in has ended since: no pressure is known. Guards against chains of sidecars that
       // each refuse a part, so that nothing reaches the last ones and none of them ever learns better.
-      if (now_ - pool.felt_at > load_[own].longest_budget) pool.admit = std::max(pool.admit, 1.0);
+      if (now_ - pool.last_signal_at > class_loads_[class_index].max_budget)
+        pool.admission = std::max(pool.admission, 1.0);
       // A crossing has to be worth its price: requests of least worth stay at home or are refused.
-      if (held.pool > 0 && Worth(own) < set_.cost_cross_zone * mean_worth_.value) break;
-      if (!pool.ring.empty() && Admits(pool, own, held.late)) return true;
+      if (request.pool > 0 && ValueOf(class_index) < settings_.cost_cross_zone * mean_value_.value) break;
+      if (!pool.ring.empty() && PoolAdmits(pool, class_index, request.already_late)) return true;
     }
-    held.pool = 0;
-    return NoServer();  // one may yet be listed while it waits
+    request.pool = 0;
+    return NoServerListed();  // one may yet be listed while it waits
   }
 
   // Work that the fastest server of the window would not do in time serves nobody, and what it takes there is
   // paid for. The dearer the work, the longer the odds that are taken.
-  bool Hopeless(const Held& held) const {
-    const RequestClass& c = ClassOf(held);
-    const ClassLoad& load = load_[held.request_class];
-    if (TimeOut(held) == 0 || set_.cost_waste <= 0 || load.answer.seen < kHopeLearnt ||
-        mean_density_.value <= 0)
+  bool IsInfeasible(const PendingRequest& request) const {
+    const RequestClass& c = ClassOf(request);
+    const ClassLoad& load = class_loads_[request.request_class];
+    if (AttemptTimeout(request) == 0 || settings_.cost_waste <= 0 ||
+        load.answer_time.samples < kInfeasibleMinAnswers || mean_value_density_.value <= 0)
       return false;
     const Pool& pool = pools_[pools_[0].ring.empty() ? 1 : 0];
-    const std::size_t width = Width(pool, set_);
-    if (width == 0) return false;
-    double best = Slow(pool.InWindow(0));
-    for (std::size_t i = 1; i < width; ++i) best = std::min(best, Slow(pool.InWindow(i)));
-    const double odds = 1 + Density(held.request_class) / mean_density_.value;
-    return load.answer.value * held.size * best > odds * static_cast<double>(c.latency_target);
+    const std::size_t window_size = WindowSize(pool, settings_);
+    if (window_size == 0) return false;
+    double fastest = LatencyFactor(pool.InWindow(0));
+    for (std::size_t i = 1; i < window_size; ++i)
+      fastest = std::min(fastest, LatencyFactor(pool.InWindow(i)));
+    const double tolerance = 1 + ValueDensity(request.request_class) / mean_value_density_.value;
+    return load.answer_time.value * request.relative_work * fastest >
+           tolerance * static_cast<double>(c.latency_target);
   }
 
   // Says what is refused on arrival and why; at most once a second and nothing while all is let in.
-  void LogAdmission(const Held& held, bool let_in) {
-    ++arrived_;
-    if (!let_in) ++refused_;
-    if (refused_ == 0 || now_ < logged_at_ + kSecond) return;
-    const Pool& pool = pools_[held.pool];
+  void LogAdmission(const PendingRequest& request, bool admitted) {
+    ++arrived_count_;
+    if (!admitted) ++refused_count_;
+    if (refused_count_ == 0 || now_ < admission_logged_at_ + kSecond) return;
+    const Pool& pool = pools_[request.pool];
     char text[240];
     std::snprintf(
         text, sizeof text,
         "admission: %d of %d requests refused, %d as hopeless; admit %.2f, room %.2f; pressure %.2f aims, "
         "least %.2f, target %.2f; %d out at %zu servers",
-        std::exchange(refused_, 0), std::exchange(arrived_, 0), std::exchange(hopeless_, 0), pool.admit,
-        Room(pool), pool.usual, pool.unloaded, std::max(Target(pool), LeastTarget(pool)), pool.out,
+        std::exchange(refused_count_, 0), std::exchange(arrived_count_, 0),
+        std::exchange(infeasible_count_, 0), pool.admission, ConcurrencyAdmission(pool), pool.latency_ratio,
+        pool.unloaded_latency_ratio, std::max(MarginalTarget(pool), MinTarget(pool)), pool.in_flight,
         pool.ring.size());
-    logged_at_ = now_;
+    admission_logged_at_ = now_;
     sink_.Log(text);
   }
 
@@ -439,24 +456,24 @@
   // them. By the plain share of min(admit, 1) each replacement refused for a quarter second; the plain share
   // of all that was saved would let in three quarters for half. It could harm where those that go were doing
   // nothing; good answers mend that within a second.
-  static void Rescale(Pool& pool, std::size_t before) {
-    if (before == 0 || pool.ring.empty()) return;
-    const double share = static_cast<double>(pool.ring.size()) / static_cast<double>(before);
-    pool.admit = std::clamp(pool.admit * share * share, kAdmitLeast, std::max(pool.admit, 1.0));
+  static void ScaleAdmission(Pool& pool, std::size_t ring_size_before) {
+    if (ring_size_before == 0 || pool.ring.empty()) return;
+    const double share = static_cast<double>(pool.ring.size()) / static_cast<double>(ring_size_before);
+    pool.admission = std::clamp(pool.admission * share * share, kMinAdmission, std::max(pool.admission, 1.0));
   }
 
-  void CountArrival(Held& held, std::optional<Micros> cost) {
-    const std::size_t own = held.request_class;
-    hinted_ = hinted_ || cost.has_value();
+  void CountArrival(PendingRequest& request, std::optional<Micros> cost) {
+    const std::size_t class_index = request.request_class;
+    requests_carry_cost_ = requests_carry_cost_ || cost.has_value();
     if (cost) {
       const double work = static_cast<double>(std::max<Micros>(*cost, 1));
-      load_[own].work.Add(work, kMixMemory);
-      held.size = std::max(work / load_[own].work.value, kLeastSize);
+      class_loads_[class_index].mean_work.Add(work, kArrivalMemory);
+      request.relative_work = std::max(work / class_loads_[class_index].mean_work.value, kMinRelativeWork);
     }
-    for (ClassLoad& load : load_) load.arriving *= 1 - 1 / kMixMemory;
-    load_[own].arriving += load_[own].work.value;
-    mean_worth_.Add(Worth(own), kMixMemory);
-    mean_density_.Add(Density(own), kMixMemory);
+    for (ClassLoad& load : class_loads_) load.arriving_work *= 1 - 1 / kArrivalMemory;
+    class_loads_[class_index].arriving_work += class_loads_[class_index].mean_work.value;
+    mean_value_.Add(ValueOf(class_index), kArrivalMemory);
+    mean_value_density_.Add(ValueDensity(class_index), kArrivalMemory);
   }
 
   // The share that the attempts that are out leave room for. Answers tell of an overload late and make it
@@ -464,161 +481,179 @@
   // stood at its most while the answers that came were as usual, and four of nine choked. What is out shows
   // it at once, whatever the cause: a burst, servers that go, slow down or choke. It could harm where more
   // work comes for good within seconds; as long as answers stay good the limit follows.
-  double Room(const Pool& pool) const {
-    if (!pool.limited) return 1;
-    const double over = pool.out / (pool.out_each * static_cast<double>(pool.ring.size()));
-    return std::clamp((kOutFull - over) / (kOutFull - kOutFrom), kAdmitLeast, 1.0);
+  double ConcurrencyAdmission(const Pool& pool) const {
+    if (!pool.concurrency_limited) return 1;
+    const double relative_in_flight =
+        pool.in_flight / (pool.in_flight_per_server * static_cast<double>(pool.ring.size()));
+    return std::clamp(
+        (kConcurrencyLimitFull - relative_in_flight) / (kConcurrencyLimitFull - kConcurrencyLimitStart),
+        kMinAdmission, 1.0);
   }
 
-  static bool KnowsOut(const Pool& pool) {
-    return pool.outs >= kOutLearnt && pool.out_each * static_cast<double>(pool.ring.size()) >= kSteadyOut;
+  static bool HasConcurrencyLimit(const Pool& pool) {
+    return pool.in_flight_samples >= kInFlightMinSamples &&
+           pool.in_flight_per_server * static_cast<double>(pool.ring.size()) >= kHighInFlight;
   }
 
-  static void LearnOut(Pool& pool) {
-    if (pool.admit < 1 || pool.ring.empty()) return;
+  static void LearnInFlight(Pool& pool) {
+    if (pool.admission < 1 || pool.ring.empty()) return;
     const double servers = static_cast<double>(pool.ring.size());
-    pool.outs = std::min(pool.outs + 1, kOutMemory);
-    pool.out_each += (pool.out / servers - pool.out_each) / pool.outs;
-    pool.limited = KnowsOut(pool);
+    pool.in_flight_samples = std::min(pool.in_flight_samples + 1, kInFlightMemory);
+    pool.in_flight_per_server +=
+        (pool.in_flight / servers - pool.in_flight_per_server) / pool.in_flight_samples;
+    pool.concurrency_limited = HasConcurrencyLimit(pool);
   }
 
-  bool Admits(const Pool& pool, std::size_t own, bool late) {
-    const double admit = std::min(pool.admit, Room(pool));
-    if (admit >= 1) return true;
-    return random_.Unit() * load_[own].arriving <
-           admit * Arriving(0) - Arriving(Density(own) * (late ? set_.classes[own].late_value : 1));
+  bool PoolAdmits(const Pool& pool, std::size_t class_index, bool already_late) {
+    const double admission = std::min(pool.admission, ConcurrencyAdmission(pool));
+    if (admission >= 1) return true;
+    return random_.Unit() * class_loads_[class_index].arriving_work <
+           admission * ArrivingWorkAbove(0) -
+               ArrivingWorkAbove(ValueDensity(class_index) *
+                                 (already_late ? settings_.classes[class_index].late_value : 1));
   }
 
   // Work that arrived lately and is worth more than `density`.
-  double Arriving(double density) const {
+  double ArrivingWorkAbove(double density) const {
     double sum = 0;
-    for (std::size_t i = 0; i < load_.size(); ++i)
-      if (Density(i) > density) sum += load_[i].arriving;
+    for (std::size_t i = 0; i < class_loads_.size(); ++i)
+      if (ValueDensity(i) > density) sum += class_loads_[i].arriving_work;
     return sum;
   }
 
-  double AdmitTarget(const Pool& pool) const {
-    return set_.reports == Settings::Reports::kNone ? kAdmitTarget
-                                                    : std::min(kAdmitTargetReported, pool.unloaded + kRoom);
+  double BaseTarget(const Pool& pool) const {
+    return settings_.reports == Settings::Reports::kNone
+               ? kLatencyRatioTarget
+               : std::min(kLatencyRatioTargetWithReports, pool.unloaded_latency_ratio + kUnloadedRatioMargin);
   }
 
   // The target goes no lower than some way above the least pressure that was usual.
-  double LeastTarget(const Pool& pool) const {
-    const double busy = std::clamp((pool.out_peak - kBusyFrom) / (kBusyFull - kBusyFrom), 0.0, 1.0);
-    const double headroom = kHeadroom + busy * (kHeadroomBusy - kHeadroom);
-    const double most = AdmitTarget(pool) + busy * std::max(kAdmitTargetBusy - AdmitTarget(pool), 0.0);
-    return std::min(headroom * pool.unloaded, most);
+  double MinTarget(const Pool& pool) const {
+    const double busy_fraction = std::clamp(
+        (pool.in_flight_peak - kBusyStartInFlight) / (kBusyFullInFlight - kBusyStartInFlight), 0.0, 1.0);
+    const double factor =
+        kUnloadedRatioFactor + busy_fraction * (kUnloadedRatioFactorBusy - kUnloadedRatioFactor);
+    const double max_target =
+        BaseTarget(pool) + busy_fraction * std::max(kLatencyRatioTargetBusy - BaseTarget(pool), 0.0);
+    return std::min(factor * pool.unloaded_latency_ratio, max_target);
   }
 
   // The pressure, in aims, at which no more is to be let in. It follows the worth of the work at the margin,
   // the least that is still let in: cheap work goes while servers are far from choking, dear work only when
   // answers come late.
-  double Target(const Pool& pool) const {
-    const double total = Arriving(0);
-    if (total <= 0) return AdmitTarget(pool);
-    double margin = 0;
-    double mean = 0;
-    for (std::size_t i = 0; i < load_.size(); ++i) {
-      const double density = Density(i);
-      mean += density * load_[i].arriving / total;
-      if (load_[i].arriving > 0 && Arriving(density) < pool.admit * total &&
-          (margin <= 0 || density < margin))
-        margin = density;
+  double MarginalTarget(const Pool& pool) const {
+    const double total = ArrivingWorkAbove(0);
+    if (total <= 0) return BaseTarget(pool);
+    double marginal_density = 0;
+    double mean_density = 0;
+    for (std::size_t i = 0; i < class_loads_.size(); ++i) {
+      const double density = ValueDensity(i);
+      mean_density += density * class_loads_[i].arriving_work / total;
+      if (class_loads_[i].arriving_work > 0 && ArrivingWorkAbove(density) < pool.admission * total &&
+          (marginal_density <= 0 || density < marginal_density))
+        marginal_density = density;
     }
-    return AdmitTarget(pool) * std::sqrt(std::min(margin / mean, 1.0));
+    return BaseTarget(pool) * std::sqrt(std::min(marginal_density / mean_density, 1.0));
   }
 
-  double Worth(std::size_t i) const {
-    return set_.classes[i].value * (set_.value_by_work ? load_[i].work.value : 1);
+  double ValueOf(std::size_t i) const {
+    return settings_.classes[i].value * (settings_.value_by_work ? class_loads_[i].mean_work.value : 1);
   }
-  double Density(std::size_t i) const { return Worth(i) / load_[i].work.value; }
+  double ValueDensity(std::size_t i) const { return ValueOf(i) / class_loads_[i].mean_work.value; }
 
   // An attempt that is still out when its request's aim has passed is pressure at once. Guards against
   // hearing of an overload only when the answers come, seconds after they were late.
-  void FeelLate(Held& held) {
-    Attempt& attempt = held.attempts.back();
-    if (!attempt.out || std::exchange(attempt.felt, true)) return;
-    Feel(held, *attempt.server, {.request = {}, .result = Result::kTimeout});
-    Strike(*attempt.server, attempt.sent);
+  void OnLatencyTargetMissed(PendingRequest& request) {
+    Attempt& attempt = request.attempts.back();
+    if (!attempt.in_flight || std::exchange(attempt.overload_counted, true)) return;
+    UpdateAdmission(request, *attempt.server, {.request = {}, .result = Result::kTimeout});
+    MaybeEject(*attempt.server, attempt.sent);
   }
 
   // What an outcome tells of the pressure on the servers.
-  void Feel(const Held& held, const Server& server, const Outcome& outcome) {
+  void UpdateAdmission(const PendingRequest& request, const Server& server, const Outcome& outcome) {
     Pool& pool = pools_[server.pool];
     // Requests that get no answer say nothing of load where the concurrency limit tells it: they are few
     // servers' that stall, or lost on the way; nor do they where the server has lately had idle cores. As
     // pressure they kept more than half of the work from servers that stood idle, for ten seconds; each one
     // outweighs ten good answers. It could harm where servers choke without more attempts out than usual;
     // what they answer still tells it.
-    if (outcome.result == Result::kTimeout && (pool.limited || !server.busy)) return;
-    const double aim = static_cast<double>(std::max<Micros>(ClassOf(held).latency_target, 1));
-    double aims = std::min(static_cast<double>(outcome.elapsed) / aim, kAdmitWorst);
+    if (outcome.result == Result::kTimeout && (pool.concurrency_limited || !server.cores_busy)) return;
+    const double latency_target = static_cast<double>(std::max<Micros>(ClassOf(request).latency_target, 1));
+    double latency_ratio = std::min(static_cast<double>(outcome.elapsed) / latency_target, kMaxLatencyRatio);
     if (outcome.result == Result::kSuccess) {
-      ClassLoad& load = load_[held.request_class];
-      pool.elapsed.Add(static_cast<double>(outcome.elapsed), kMixMemory);
-      if (!hinted_) load.work.Add(static_cast<double>(std::max<Micros>(outcome.elapsed, 1)), kMixMemory);
+      ClassLoad& load = class_loads_[request.request_class];
+      pool.answer_time.Add(static_cast<double>(outcome.elapsed), kArrivalMemory);
+      if (!requests_carry_cost_)
+        load.mean_work.Add(static_cast<double>(std::max<Micros>(outcome.elapsed, 1)), kArrivalMemory);
     } else if (outcome.result == Result::kTimeout ||
-               (outcome.result == Result::kRefused && !RefusesOneClass(server))) {
-      aims = kAdmitWorst;
+               (outcome.result == Result::kRefused && !RefusesSingleClass(server))) {
+      latency_ratio = kMaxLatencyRatio;
     } else {
       return;  // says nothing of load
     }
-    LearnOut(pool);
-    pool.felt_at = now_;
-    pool.answers = std::min(pool.answers + 1, kUsualMemory);
-    pool.usual += (aims - pool.usual) / pool.answers;
-    if (pool.answers >= kUsualMemory / 2) pool.unloaded = std::min(pool.unloaded, pool.usual);
+    LearnInFlight(pool);
+    pool.last_signal_at = now_;
+    pool.latency_samples = std::min(pool.latency_samples + 1, kLatencyRatioMemory);
+    pool.latency_ratio += (latency_ratio - pool.latency_ratio) / pool.latency_samples;
+    if (pool.latency_samples >= kLatencyRatioMemory / 2)
+      pool.unloaded_latency_ratio = std::min(pool.unloaded_latency_ratio, pool.latency_ratio);
     // Guards against refusing work while servers have room: a dear request, a slow core or a far zone takes
     // as long as an overload does. It could harm where reports lag far behind a sudden one.
-    if (!server.busy) aims = std::min(aims, pool.unloaded);
-    pool.lates = aims < 1 ? 0 : std::min(pool.lates + 1, kLatesMost);
-    const double least = pool.unloaded < kAdmitWorst ? LeastTarget(pool) : 0;
-    const double gain = kAdmitStep * std::min(1.0, kSteadyOut / std::max(pool.out_peak, 1.0));
-    const double step = gain * (std::max(Target(pool), least) - aims * std::max(pool.lates, 1.0));
+    if (!server.cores_busy) latency_ratio = std::min(latency_ratio, pool.unloaded_latency_ratio);
+    pool.consecutive_late = latency_ratio < 1 ? 0 : std::min(pool.consecutive_late + 1, kMaxLateFactor);
+    const double min_target = pool.unloaded_latency_ratio < kMaxLatencyRatio ? MinTarget(pool) : 0;
+    const double gain = kAdmissionStep * std::min(1.0, kHighInFlight / std::max(pool.in_flight_peak, 1.0));
+    const double step = gain * (std::max(MarginalTarget(pool), min_target) -
+                                latency_ratio * std::max(pool.consecutive_late, 1.0));
     // The less is let in, the fewer outcomes there are to recover by: each counts for more then.
-    pool.admit = std::clamp(pool.admit + (step > 0 ? step / std::max(pool.admit, kRecoverAt) : step),
-                            kAdmitLeast, kAdmitMost);
+    pool.admission = std::clamp(
+        pool.admission + (step > 0 ? step / std::max(pool.admission, kMinRecoveryAdmission) : step),
+        kMinAdmission, kMaxAdmission);
   }
 
-  static double SlowMemory(const Pool& pool) {
-    return std::clamp(kSlowMemoryBusy * pool.out_peak / kSteadyOut, kSlowMemory, kSlowMemoryBusy);
+  static double ServerLatencyMemory(const Pool& pool) {
+    return std::clamp(kServerLatencyMemoryBusy * pool.in_flight_peak / kHighInFlight, kServerLatencyMemory,
+                      kServerLatencyMemoryBusy);
   }
 
   // What an outcome tells of the server.
-  void Judge(const Held& held, Server& server, Micros sent, const Outcome& outcome) {
-    ClassLoad& load = load_[held.request_class];
+  void UpdateServerStatistics(const PendingRequest& request, Server& server, Micros sent,
+                              const Outcome& outcome) {
+    ClassLoad& load = class_loads_[request.request_class];
     const double elapsed = static_cast<double>(outcome.elapsed);
     if (outcome.result == Result::kSuccess) {
-      load.answer.Add(elapsed, kMixMemory);
+      load.answer_time.Add(elapsed, kArrivalMemory);
     } else if (outcome.result == Result::kCancelled || outcome.result == Result::kNeverSent) {
       return;
     }
     const bool unanswered = outcome.result == Result::kTimeout || outcome.result == Result::kReset;
-    server.failing.resize(load_.size());
-    double& failing = server.failing[held.request_class];
-    if (outcome.result == Result::kError || unanswered) failing += (kRefusalMost - failing) / kErrorMemory;
-    if (outcome.result == Result::kSuccess) failing -= failing / kServedMemory;
+    server.failure_rates.resize(class_loads_.size());
+    double& failure_rate = server.failure_rates[request.request_class];
+    if (outcome.result == Result::kError || unanswered)
+      failure_rate += (kMaxSkipShare - failure_rate) / kErrorMemory;
+    if (outcome.result == Result::kSuccess) failure_rate -= failure_rate / kSuccessMemory;
     if (outcome.result == Result::kError) return;
-    server.refuses.resize(load_.size());
-    double& refuses = server.refuses[held.request_class];
-    if (outcome.result == Result::kRefused) refuses += (kRefusalMost - refuses) / kRefusalMemory;
-    if (outcome.result == Result::kSuccess) refuses -= refuses / kServedMemory;
-    const double usual = load.answer.value * held.size;
-    if (outcome.result != Result::kRefused && usual > 0) {
-      const double most = kSlowMost * usual;
-      const double taken = outcome.result == Result::kSuccess ? std::min(elapsed, most) : most;
-      server.pace.Add(taken, usual, SlowMemory(pools_[server.pool]));
-      machines_[server.info.machine].Add(taken, usual, kMixMemory);
+    server.refusal_rates.resize(class_loads_.size());
+    double& refusal_rate = server.refusal_rates[request.request_class];
+    if (outcome.result == Result::kRefused) refusal_rate += (kMaxSkipShare - refusal_rate) / kRefusalMemory;
+    if (outcome.result == Result::kSuccess) refusal_rate -= refusal_rate / kSuccessMemory;
+    const double expected = load.answer_time.value * request.relative_work;
+    if (outcome.result != Result::kRefused && expected > 0) {
+      const double max_time = kMaxServerLatencyFactor * expected;
+      const double measured = outcome.result == Result::kSuccess ? std::min(elapsed, max_time) : max_time;
+      server.relative_latency.Add(measured, expected, ServerLatencyMemory(pools_[server.pool]));
+      machine_latencies_[server.info.machine].Add(measured, expected, kArrivalMemory);
     }
     if (outcome.result == Result::kSuccess) {
-      if (outcome.elapsed >= ClassOf(held).latency_target) return;
-      server.strikes = 0;
-      server.good_at = now_;
+      if (outcome.elapsed >= ClassOf(request).latency_target) return;
+      server.consecutive_failures = 0;
+      server.last_timely_answer_at = now_;
     } else if (outcome.result != Result::kRefused) {
       // At once broken, it says less: the network resets some of any server's requests. Guards against
       // leaving half of the servers alone all the time; one that is dead has served nothing for an aim soon
       // enough.
-      Strike(server, std::min(sent, now_ - ClassOf(held).latency_target));
+      MaybeEject(server, std::min(sent, now_ - ClassOf(request).latency_target));
     }
   }
 
@@ -629,33 +664,34 @@
   // alone was spoilt. Guards against leaving healthy servers alone by chance: at 300 requests a second, a
   // hundredth of them late, a sidecar left up to five of nine alone at once, and the rest choked. It could
   // harm where a server hangs on one kind of request only.
-  void Strike(Server& server, Micros sent) {
-    if (now_ < server.away_until || server.good_at > sent) return;
+  void MaybeEject(Server& server, Micros sent_at) {
+    if (now_ < server.ejected_until || server.last_timely_answer_at > sent_at) return;
     const Pool& pool = pools_[server.pool];
-    const std::size_t width = Width(pool, set_);
-    std::size_t away = 0;
-    for (std::size_t i = 0; i < width; ++i) away += Away(pool.InWindow(i));
-    if (static_cast<double>(away + 1) > kMostAway * static_cast<double>(width)) return;
-    server.away_until = now_ + random_.Upto(Doubled(kServerBase, server.strikes++, kRetryCap));
+    const std::size_t window_size = WindowSize(pool, settings_);
+    std::size_t ejected = 0;
+    for (std::size_t i = 0; i < window_size; ++i) ejected += IsEjected(pool.InWindow(i));
+    if (static_cast<double>(ejected + 1) > kMaxEjectedShare * static_cast<double>(window_size)) return;
+    server.ejected_until =
+        now_ + random_.UpTo(ExponentialBackoff(kEjectionBase, server.consecutive_failures++, kRetryCap));
   }
 
   // A server in its wait, or with its one trial attempt out.
-  bool Away(const Server& server) const {
-    return now_ < server.away_until || (server.strikes > 0 && server.out > 0);
+  bool IsEjected(const Server& server) const {
+    return now_ < server.ejected_until || (server.consecutive_failures > 0 && server.in_flight > 0);
   }
 
   // One class turned away of several is a limit on it and no pressure.
-  static bool RefusesOneClass(const Server& server) {
-    const auto some = [](double share) { return share > kRefusesSome; };
-    return server.refuses.size() > 1 &&
-           std::count_if(server.refuses.begin(), server.refuses.end(), some) == 1;
+  static bool RefusesSingleClass(const Server& server) {
+    const auto refuses = [](double share) { return share > kMinRefusalShare; };
+    return server.refusal_rates.size() > 1 &&
+           std::count_if(server.refusal_rates.begin(), server.refusal_rates.end(), refuses) == 1;
   }
 
   // A server that lately turned away this class is passed over as often as it did. Guards against limits on
   // one class, which say nothing of room for the others, and against full servers. It could harm where all
   // refuse by chance; the search from end to end then takes any.
-  bool Refuses(const Held& held, const Server& server) {
-    const double share = server.refuses.empty() ? 0 : server.refuses[held.request_class];
+  bool SkipForRefusals(const PendingRequest& request, const Server& server) {
+    const double share = server.refusal_rates.empty() ? 0 : server.refusal_rates[request.request_class];
     return share > 0 && random_.Unit() < share;
   }
 
@@ -664,9 +700,9 @@
   // The same for one that lets requests time out or resets them while it serves others well, which keeps it
   // from being left alone.
   // By class: servers that fail one kind of request alone serve the others well, and that hid it.
-  bool Fails(const Held& held, const Server& server) {
-    const double share = server.failing.empty() ? 0 : server.failing[held.request_class];
-    return share > 0 && random_.Unit() < std::min(2 * share, kRefusalMost);
+  bool SkipForFailures(const PendingRequest& request, const Server& server) {
+    const double share = server.failure_rates.empty() ? 0 : server.failure_rates[request.request_class];
+    return share > 0 && random_.Unit() < std::min(2 * share, kMaxSkipShare);
   }
 
   // ---- The choice of a server ----
@@ -676,98 +712,110 @@
   // out and has said nothing for longer than they explain looks the busier the longer it is silent: guards
   // against servers that stall, hang or vanish, long before their requests are late. It could harm a server
   // that has dear requests alone; two of them count no more than a few others.
-  double Busy(const Held& held, const Server& server) const {
-    const double usual = pools_[server.pool].elapsed.value;
-    const double silent = usual > 0 ? static_cast<double>(now_ - server.heard_at) * server.out / usual : 0;
-    return (server.out + held.size) * Slow(server) * std::max(1.0, silent / kSilence);
+  double LoadScore(const PendingRequest& request, const Server& server) const {
+    const double mean_answer_time = pools_[server.pool].answer_time.value;
+    const double silence = mean_answer_time > 0 ? static_cast<double>(now_ - server.last_answer_at) *
+                                                      server.in_flight / mean_answer_time
+                                                : 0;
+    return (server.in_flight + request.relative_work) * LatencyFactor(server) *
+           std::max(1.0, silence / kSilenceFactor);
   }
 
   // How long a server takes for the same work, as a multiple of what is usual. What it has answered is
   // weighed against what others of its kind of machine did. Guards against learning too late: in a large
   // fleet a sidecar meets each server seldom, and its first answers say little by themselves.
-  double Slow(const Server& server) const {
-    const double weight = kSlowPrior * std::max(pools_[server.pool].elapsed.value, 1.0);
-    const auto among = machines_.find(server.info.machine);
-    const double kind =
-        among == machines_.end() ? 1 : (among->second.taken + weight) / (among->second.usual + weight);
-    return (server.pace.taken + weight * kind) / (server.pace.usual + weight);
+  double LatencyFactor(const Server& server) const {
+    const double prior_weight = kMachineLatencyWeight * std::max(pools_[server.pool].answer_time.value, 1.0);
+    const auto machine = machine_latencies_.find(server.info.machine);
+    const double machine_factor =
+        machine == machine_latencies_.end()
+            ? 1
+            : (machine->second.measured + prior_weight) / (machine->second.expected + prior_weight);
+    return (server.relative_latency.measured + prior_weight * machine_factor) /
+           (server.relative_latency.expected + prior_weight);
   }
 
   // The less busy of two random window servers. Null if the window holds none that may be used.
-  Server* Choose(const Held& held) {
-    const Pool& pool = pools_[pools_[held.pool].ring.empty() ? 1 - held.pool : held.pool];
-    const std::size_t width = Width(pool, set_);
-    if (width == 0) return nullptr;
+  Server* ChooseServer(const PendingRequest& request) {
+    const Pool& pool = pools_[pools_[request.pool].ring.empty() ? 1 - request.pool : request.pool];
+    const std::size_t window_size = WindowSize(pool, settings_);
+    if (window_size == 0) return nullptr;
     // A young server whose turn has come by its credit, and that does not cost the request its aim: left to
     // the draws, others win most turns and newcomers stand idle while those that stay are overloaded.
-    if (held.size <= 1) {
-      const std::size_t first = static_cast<std::size_t>(served_) % width;
-      for (std::size_t i = 0; i < width; ++i) {
-        Server& server = pool.InWindow((first + i) % width);
-        if (Warmth(server) < 1 && server.out == 0 && !Away(server) && MayUse(held, server) &&
-            AcceptYoung(server) && !Refuses(held, server) && !Fails(held, server))
+    if (request.relative_work <= 1) {
+      const std::size_t first = static_cast<std::size_t>(served_count_) % window_size;
+      for (std::size_t i = 0; i < window_size; ++i) {
+        Server& server = pool.InWindow((first + i) % window_size);
+        if (WarmupFraction(server) < 1 && server.in_flight == 0 && !IsEjected(server) &&
+            MayUse(request, server) && HasSlowStartCredit(server) && !SkipForRefusals(request, server) &&
+            !SkipForFailures(request, server))
           return &server;
       }
     }
     Server* best = nullptr;
-    double room = 0;
-    for (std::size_t i = 0; i < width; ++i) room += Pull(pool.InWindow(i));
+    double total_weight = 0;
+    for (std::size_t i = 0; i < window_size; ++i) total_weight += DrawWeight(pool.InWindow(i));
     int found = 0;
-    for (int draw = 0; draw < kDraws && found < 2; ++draw) {
-      Server& server = Draw(pool, width, room);
-      if (Away(server) || Refuses(held, server) || Fails(held, server) || !MayUse(held, server) ||
-          !AcceptYoung(server))
+    for (int draw = 0; draw < kMaxDraws && found < 2; ++draw) {
+      Server& server = DrawServer(pool, window_size, total_weight);
+      if (IsEjected(server) || SkipForRefusals(request, server) || SkipForFailures(request, server) ||
+          !MayUse(request, server) || !HasSlowStartCredit(server))
         continue;
       ++found;
-      if (best == nullptr || Busy(held, server) < Busy(held, *best)) best = &server;
+      if (best == nullptr || LoadScore(request, server) < LoadScore(request, *best)) best = &server;
     }
     if (best != nullptr) return best;
-    bool none_warm = served_by_size_.seen < 1;  // and nothing known to earn credit by: chance has to do
-    for (std::size_t i = 0; i < width; ++i) none_warm = none_warm && Warmth(pool.InWindow(i)) < 1;
-    const std::size_t start = random_.Below(width);
+    bool all_in_slow_start =
+        served_rate_per_weight_.samples < 1;  // and nothing known to earn credit by: chance has to do
+    for (std::size_t i = 0; i < window_size; ++i)
+      all_in_slow_start = all_in_slow_start && WarmupFraction(pool.InWindow(i)) < 1;
+    const std::size_t start = random_.Below(window_size);
     // Twice round: what is left alone for a while may serve, and what fails this class hardly ever does.
-    for (std::size_t i = 0; i < 2 * width; ++i) {
-      Server& server = pool.InWindow((start + i) % width);
-      if (!MayUse(held, server) || (i < width && Fails(held, server))) continue;
-      if (AcceptYoung(server) || (none_warm && random_.Unit() < Warmth(server))) return &server;
+    for (std::size_t i = 0; i < 2 * window_size; ++i) {
+      Server& server = pool.InWindow((start + i) % window_size);
+      if (!MayUse(request, server) || (i < window_size && SkipForFailures(request, server))) continue;
+      if (HasSlowStartCredit(server) || (all_in_slow_start && random_.Unit() < WarmupFraction(server)))
+        return &server;
     }
-    return held.MayHaveRun() == nullptr ? nullptr : OutsideWindow(held);
+    return request.FirstThatMayHaveRun() == nullptr ? nullptr : ChooseOutsideWindow(request);
   }
 
   // How much of the work a server should draw: its size, as far as it is told, by how fast it takes work.
-  double Pull(const Server& server) const { return Size(server) / std::max(Slow(server), kLeastWeight); }
-  static double Size(const Server& server) { return std::max(server.info.weight, kLeastWeight); }
+  double DrawWeight(const Server& server) const {
+    return ListedWeight(server) / std::max(LatencyFactor(server), kMinWeight);
+  }
+  static double ListedWeight(const Server& server) { return std::max(server.info.weight, kMinWeight); }
 
   // Chance by size and pace. Guards against small servers that get as much as large ones: two draws alike for
   // all send the smallest of three still a ninth, which is more than they can do.
-  Server& Draw(const Pool& pool, std::size_t width, double room) {
-    double at = random_.Unit() * room;
+  Server& DrawServer(const Pool& pool, std::size_t window_size, double total_weight) {
+    double remaining = random_.Unit() * total_weight;
     std::size_t i = 0;
-    while (i + 1 < width && (at -= Pull(pool.InWindow(i))) >= 0) ++i;
+    while (i + 1 < window_size && (remaining -= DrawWeight(pool.InWindow(i))) >= 0) ++i;
     return pool.InWindow(i);
   }
 
   // The exception to the window: what may have run can be repeated only in its group, and the window may hold
   // no other server of it. Then any listed server of the group will do, for as long as repeats are dropped.
-  Server* OutsideWindow(const Held& held) {
+  Server* ChooseOutsideWindow(const PendingRequest& request) {
     for (Pool& pool : pools_) {
       const std::size_t start = random_.Below(pool.ring.size());
       for (std::size_t i = 0; i < pool.ring.size(); ++i) {
         Server& server = *pool.ring[(start + i) % pool.ring.size()];
-        if (!Away(server) && MayUse(held, server) && AcceptYoung(server)) return &server;
+        if (!IsEjected(server) && MayUse(request, server) && HasSlowStartCredit(server)) return &server;
       }
     }
     return nullptr;
   }
 
   // After a refusal another server is tried; after an attempt that may have run, only what drops the repeat.
-  bool MayUse(const Held& held, const Server& server) const {
-    if (!held.attempts.empty() && held.attempts.back().server == &server &&
-        Width(pools_[server.pool], set_) > 1)
+  bool MayUse(const PendingRequest& request, const Server& server) const {
+    if (!request.attempts.empty() && request.attempts.back().server == &server &&
+        WindowSize(pools_[server.pool], settings_) > 1)
       return false;
-    const Attempt* ran = held.MayHaveRun();
-    const RequestClass& c = ClassOf(held);
-    if (!MayRepeat(held)) return false;
+    const Attempt* ran = request.FirstThatMayHaveRun();
+    const RequestClass& c = ClassOf(request);
+    if (!MayRepeat(request)) return false;
     if (ran == nullptr || c.repeat == Repeat::kSafe) return true;
     // Where it ran may be unknown: that is nobody's group.
     if (c.dedup_group == DedupGroup::kZone) return ran->zone >= 0 && ran->zone == server.info.zone;
@@ -777,32 +825,33 @@
 
   // The share of its full capacity that a server certainly has: it grows from the cold share over the
   // warm-up.
-  double Warmth(const Server& server) const {
-    const Micros started = bans_.Started(server.info.id, server.info.started);
+  double WarmupFraction(const Server& server) const {
+    const Micros started = admin_down_.StartTime(server.info.id, server.info.started);
     const Micros age = now_ - started;
-    if (started == 0 || age >= set_.slow_start_duration) return 1;
-    const double grown =
-        static_cast<double>(std::max<Micros>(age, 0)) / static_cast<double>(set_.slow_start_duration);
-    return set_.slow_start_share + (1 - set_.slow_start_share) * grown;
+    if (started == 0 || age >= settings_.slow_start_duration) return 1;
+    const double elapsed_fraction =
+        static_cast<double>(std::max<Micros>(age, 0)) / static_cast<double>(settings_.slow_start_duration);
+    return settings_.slow_start_share + (1 - settings_.slow_start_share) * elapsed_fraction;
   }
 
   // The share of the servers that the window holds, and so of the sidecars whose windows hold a server.
-  double Covered(const Pool& pool) const {
-    return static_cast<double>(Width(pool, set_)) / static_cast<double>(pool.ring.size());
+  double WindowShare(const Pool& pool) const {
+    return static_cast<double>(WindowSize(pool, settings_)) / static_cast<double>(pool.ring.size());
   }
 
   // What the servers of the window usually serve of this sidecar's requests, by size, while nothing presses.
-  void LearnServed(const Pool& pool) {
-    ++served_;
-    const double seconds = static_cast<double>(now_ - served_at_) / kSecond;
+  void CountServed(const Pool& pool) {
+    ++served_count_;
+    const double seconds = static_cast<double>(now_ - rate_updated_at_) / kSecond;
     if (seconds < 1) return;
-    double all = 0;
-    for (std::size_t i = 0; i < Width(pool, set_); ++i) all += Size(pool.InWindow(i));
-    const double rate = static_cast<double>(served_ - served_before_) / seconds;
-    served_at_ = now_;
-    served_before_ = served_;
-    if ((pool.admit >= 1 || served_by_size_.seen < 1) && all > 0)
-      served_by_size_.Add(rate / all * Covered(pool), kServedSeconds);
+    double total_weight = 0;
+    for (std::size_t i = 0; i < WindowSize(pool, settings_); ++i)
+      total_weight += ListedWeight(pool.InWindow(i));
+    const double rate = static_cast<double>(served_count_ - rate_served_count_) / seconds;
+    rate_updated_at_ = now_;
+    rate_served_count_ = served_count_;
+    if ((pool.admission >= 1 || served_rate_per_weight_.samples < 1) && total_weight > 0)
+      served_rate_per_weight_.Add(rate / total_weight * WindowShare(pool), kServedRateMemory);
   }
 
   // A young server is sent its share by size of what this sidecar is *served*, as far as it is warm, times
@@ -811,128 +860,131 @@
   // overload, where sends and retries together exceed what a server can do many times, and against an idle
   // newcomer that every sidecar prefers at once. What it is usually served in that time counts as well: in an
   // overload of the others little is served, and newcomers stood idle for as long as that lasted.
-  bool AcceptYoung(Server& server) {
-    const double warmth = Warmth(server);
+  bool HasSlowStartCredit(Server& server) {
+    const double warmth = WarmupFraction(server);
     if (warmth >= 1) return true;
     const Pool& pool = pools_[server.pool];
-    const std::size_t width = Width(pool, set_);
-    double all = 0;
-    for (std::size_t i = 0; i < width; ++i) all += Size(pool.InWindow(i));
-    const double share = set_.overload_factor / 2 * warmth * Size(server);
-    const double seconds = static_cast<double>(now_ - server.credit.then) / kSecond;
-    server.credit.Earn(share * static_cast<double>(served_ - server.credit.served_then) / all,
-                       share * served_by_size_.value / Covered(pool) * seconds);
-    server.credit.served_then = served_;
-    server.credit.then = now_;
-    return server.credit.left >= 1;
+    const std::size_t window_size = WindowSize(pool, settings_);
+    double total_weight = 0;
+    for (std::size_t i = 0; i < window_size; ++i) total_weight += ListedWeight(pool.InWindow(i));
+    const double share = settings_.overload_factor / 2 * warmth * ListedWeight(server);
+    const double seconds = static_cast<double>(now_ - server.slow_start_credit.updated_at) / kSecond;
+    server.slow_start_credit.Earn(
+        share * static_cast<double>(served_count_ - server.slow_start_credit.served_count_then) /
+            total_weight,
+        share * served_rate_per_weight_.value / WindowShare(pool) * seconds);
+    server.slow_start_credit.served_count_then = served_count_;
+    server.slow_start_credit.updated_at = now_;
+    return server.slow_start_credit.available >= 1;
   }
 
   // The design's wait: full jitter, doubling. Ends the request when nothing more can come of it.
-  void Wait(HeldIt it) {
-    Held& held = it->second;
-    const int n = held.refusals++;
-    const Micros wait = random_.Upto(Doubled(kRetryBase, n, kRetryCap));
-    const int limit = std::min(kMaxAttempts, set_.max_attempts);
-    if (held.refusals >= limit || now_ + wait + set_.tick >= held.deadline || !MayRepeat(held))
-      return End(it);
-    Alarm(it, wait);
+  void RetryLaterOrFinish(PendingIt it) {
+    PendingRequest& request = it->second;
+    const int exponent = request.retries++;
+    const Micros wait = random_.UpTo(ExponentialBackoff(kRetryBase, exponent, kRetryCap));
+    const int max_attempts = std::min(kMaxAttempts, settings_.max_attempts);
+    if (request.retries >= max_attempts || now_ + wait + settings_.tick >= request.deadline ||
+        !MayRepeat(request))
+      return Finish(it);
+    SetRequestTimer(it, wait);
   }
 
-  void Alarm(HeldIt it, Micros wait) {
-    it->second.timer = ++last_timer_;
-    timers_.emplace(last_timer_, it->first);
-    sink_.SetTimer(wait, last_timer_);
+  void SetRequestTimer(PendingIt it, Micros wait) {
+    it->second.timer_token = ++last_timer_token_;
+    timers_.emplace(last_timer_token_, it->first);
+    sink_.SetTimer(wait, last_timer_token_);
   }
 
   // A repeat that has to dial leaves as late as the dial may come up, and has to leave within the window.
-  bool MayRepeat(const Held& held) const {
-    const Attempt* ran = held.MayHaveRun();
-    const RequestClass& c = ClassOf(held);
+  bool MayRepeat(const PendingRequest& request) const {
+    const Attempt* ran = request.FirstThatMayHaveRun();
+    const RequestClass& c = ClassOf(request);
     return ran == nullptr || c.repeat == Repeat::kSafe ||
-           (c.repeat == Repeat::kDeduplicated && now_ + set_.dial_timeout < ran->sent + c.dedup_window);
+           (c.repeat == Repeat::kDeduplicated && now_ + settings_.dial_timeout < ran->sent + c.dedup_window);
   }
 
   // The final answer. A refusal promises that a further try does no harm; where that is not certain it fails.
-  void End(HeldIt it) {
+  void Finish(PendingIt it) {
     const RequestClass& c = ClassOf(it->second);
-    const bool harmless = it->second.MayHaveRun() == nullptr || c.repeat == Repeat::kSafe ||
-                          (c.dedup_group == DedupGroup::kAll && MayRepeat(it->second));
+    const bool safe_to_retry = it->second.FirstThatMayHaveRun() == nullptr || c.repeat == Repeat::kSafe ||
+                               (c.dedup_group == DedupGroup::kAll && MayRepeat(it->second));
     it->second.ended = true;
-    if (harmless) {
+    if (safe_to_retry) {
       // Advice beyond half the aim would bring the client back too late to be served in time.
-      const Micros most = std::min(set_.max_retry_after, c.latency_target / 2);
-      sink_.Refuse(it->first, most > 0 ? 1 + random_.Upto(most) : 0);
+      const Micros max_delay = std::min(settings_.max_retry_after, c.latency_target / 2);
+      sink_.Refuse(it->first, max_delay > 0 ? 1 + random_.UpTo(max_delay) : 0);
     } else {
       sink_.Fail(it->first);
     }
-    Release(it);
+    RemoveIfDone(it);
   }
 
   // What is still out of a request that is over serves nobody, and keeps the turn of its key.
-  void CancelRest(HeldIt it) {
-    if (!set_.cancel || std::exchange(it->second.cancelled, true)) return;
+  void CancelRemaining(PendingIt it) {
+    if (!settings_.cancel || std::exchange(it->second.cancelled, true)) return;
     for (std::size_t i = 0; i < it->second.attempts.size(); ++i)
-      if (it->second.attempts[i].out) sink_.Cancel(it->first, static_cast<int>(i));
+      if (it->second.attempts[i].in_flight) sink_.Cancel(it->first, static_cast<int>(i));
   }
 
   // Forgets a request that is over; the next in its line has the turn then. Guards the order of a key: the
   // turn is kept while an attempt is unresolved, even if the client is gone, and for the settle time after
   // doubt.
-  void Release(HeldIt it) {
-    Held& held = it->second;
-    if (!held.ended) return;
-    if (held.AnyOut()) return CancelRest(it);
-    auto line = lines_.find(held.key);
-    if (line == lines_.end()) return void(held_.erase(it));
-    if (now_ < held.settled_at) return Alarm(it, held.settled_at - now_);
-    auto& ids = line->second;
-    const bool first = ids.front() == it->first;
-    ids.erase(std::find(ids.begin(), ids.end(), it->first));
-    held_.erase(it);
-    if (ids.empty()) return void(lines_.erase(line));
-    if (first) SendOrWait(held_.find(ids.front()));
+  void RemoveIfDone(PendingIt it) {
+    PendingRequest& request = it->second;
+    if (!request.ended) return;
+    if (request.HasAttemptInFlight()) return CancelRemaining(it);
+    auto queue = key_queues_.find(request.key);
+    if (queue == key_queues_.end()) return void(pending_.erase(it));
+    if (now_ < request.key_held_until) return SetRequestTimer(it, request.key_held_until - now_);
+    auto& queued_ids = queue->second;
+    const bool was_next = queued_ids.front() == it->first;
+    queued_ids.erase(std::find(queued_ids.begin(), queued_ids.end(), it->first));
+    pending_.erase(it);
+    if (queued_ids.empty()) return void(key_queues_.erase(queue));
+    if (was_next) SendOrRetryLater(pending_.find(queued_ids.front()));
   }
 
   // ---- Discovery ----
 
-  void AskLater(Micros most) {
-    if (!set_.must_subscribe) return;
-    const Micros wait = random_.Upto(most);
-    if (ask_at_ && *ask_at_ <= now_ + wait) return;
-    ask_at_ = now_ + wait;
-    sink_.SetTimer(wait, kAskToken);
+  void ScheduleSubscribe(Micros max_delay) {
+    if (!settings_.must_subscribe) return;
+    const Micros delay = random_.UpTo(max_delay);
+    if (next_subscribe_at_ && *next_subscribe_at_ <= now_ + delay) return;
+    next_subscribe_at_ = now_ + delay;
+    sink_.SetTimer(delay, kSubscribeToken);
   }
 
-  const Settings set_;
+  const Settings settings_;
   ActionSink& sink_;
   Random random_;
   Micros now_;
-  OutdatedList outdated_;
+  StaleListGuard stale_list_guard_;
   std::map<std::string, Server> servers_;  // sorted: the ring's order; nodes stay put
-  std::vector<std::string> leaving_;       // no longer listed, and kept while attempts are out
-  std::uint64_t walks_ = 0;
-  Bans bans_;
+  std::vector<std::string> unlisted_;      // no longer listed, and kept while attempts are out
+  std::uint64_t ring_rebuilds_ = 0;
+  AdminDownServers admin_down_;
   std::array<Pool, 2> pools_;
-  std::unordered_map<std::string, Held> held_;  // looked up, never walked
+  std::unordered_map<std::string, PendingRequest> pending_;  // looked up, never walked
   std::unordered_map<std::uint64_t, std::string> timers_;
-  std::uint64_t last_timer_ = kAskToken;
+  std::uint64_t last_timer_token_ = kSubscribeToken;
   std::unordered_map<std::string, std::deque<std::string>>
-      lines_;                       // request ids by key; looked up, never walked
-  std::vector<ClassLoad> load_;     // by class
-  std::map<int, Pace> machines_;    // by kind of machine
-  Mean mean_worth_;                 // of an arriving request
-  Mean mean_density_;               // the same by unit of its work
-  bool hinted_ = false;             // requests carry their expected work
-  std::int64_t served_ = 0;         // attempts that succeeded
-  std::int64_t served_before_ = 0;  // the same at served_at_
-  Micros served_at_ = 0;
-  Mean served_by_size_;  // usually served in a second by a server of size 1
-  int arrived_ = 0;      // requests since the last line of the log ...
-  int refused_ = 0;      // ... and what of them was refused on arrival
-  int hopeless_ = 0;     // ... for its own size, not for pressure
-  Micros logged_at_ = 0;
-  int asks_failed_ = 0;
-  std::optional<Micros> ask_at_;  // when discovery is asked next, if that is planned
+      key_queues_;                                    // request ids by key; looked up, never walked
+  std::vector<ClassLoad> class_loads_;                // by class
+  std::map<int, RelativeLatency> machine_latencies_;  // by kind of machine
+  FadingMean mean_value_;                             // of an arriving request
+  FadingMean mean_value_density_;                     // the same by unit of its work
+  bool requests_carry_cost_ = false;                  // requests carry their expected work
+  std::int64_t served_count_ = 0;                     // attempts that succeeded
+  std::int64_t rate_served_count_ = 0;                // the same at served_at_
+  Micros rate_updated_at_ = 0;
+  FadingMean served_rate_per_weight_;  // usually served in a second by a server of size 1
+  int arrived_count_ = 0;              // requests since the last line of the log ...
+  int refused_count_ = 0;              // ... and what of them was refused on arrival
+  int infeasible_count_ = 0;           // ... for its own size, not for pressure
+  Micros admission_logged_at_ = 0;
+  int failed_subscribes_ = 0;
+  std::optional<Micros> next_subscribe_at_;  // when discovery is asked next, if that is planned
 };
 
 // ---- The outside ----
@@ -964,34 +1016,34 @@
 Balancer::Balancer(std::unique_ptr<State> state) : state_(std::move(state)) {}
 Balancer::~Balancer() = default;
 
-void Balancer::OnServers(Micros now, const ListUpdate& update) { state_->At(now).OnServers(update); }
+void Balancer::OnServers(Micros now, const ListUpdate& update) { state_->AdvanceTo(now).OnServers(update); }
 void Balancer::OnListStaleness(Micros now, std::optional<Micros> effective_from, MissedChanges missed) {
-  state_->At(now).OnListStaleness(effective_from, missed);
+  state_->AdvanceTo(now).OnListStaleness(effective_from, missed);
 }
-bool Balancer::DispatchPaused(Micros now) { return state_->At(now).DispatchPaused(); }
+bool Balancer::DispatchPaused(Micros now) { return state_->AdvanceTo(now).DispatchPaused(); }
 void Balancer::SetAdminDown(Micros now, std::string_view server, bool down) {
-  state_->At(now).SetAdminDown(server, down);
+  state_->AdvanceTo(now).SetAdminDown(server, down);
 }
 std::string Balancer::ExportLearnedState() const { return state_->ExportLearnedState(); }
 bool Balancer::RestoreLearnedState(Micros now, std::string_view learned) {
-  return state_->At(now).RestoreLearnedState(learned);
+  return state_->AdvanceTo(now).RestoreLearnedState(learned);
 }
-void Balancer::OnRequest(Micros now, const Request& request) { state_->At(now).OnRequest(request); }
+void Balancer::OnRequest(Micros now, const Request& request) { state_->AdvanceTo(now).OnRequest(request); }
 void Balancer::OnRequestBodyComplete(Micros now, std::string_view request, Micros budget) {
-  state_->At(now).OnRequestBodyComplete(request, budget);
+  state_->AdvanceTo(now).OnRequestBodyComplete(request, budget);
 }
 void Balancer::OnResponseStarted(Micros now, std::string_view, int) {
-  state_->At(now);  // the attempt is the client's now; its outcome still comes
+  state_->AdvanceTo(now);  // the attempt is the client's now; its outcome still comes
 }
-void Balancer::OnOutcome(Micros now, const Outcome& outcome) { state_->At(now).OnOutcome(outcome); }
+void Balancer::OnOutcome(Micros now, const Outcome& outcome) { state_->AdvanceTo(now).OnOutcome(outcome); }
 void Balancer::OnClientDisconnected(Micros now, std::string_view request) {
-  state_->At(now).OnClientDisconnected(request);
+  state_->AdvanceTo(now).OnClientDisconnected(request);
 }
-void Balancer::OnTimer(Micros now, std::uint64_t token) { state_->At(now).OnTimer(token); }
-void Balancer::OnProbed(Micros now, const ProbeResult&) { state_->At(now); }
-void Balancer::OnPeerMessage(Micros now, std::uint32_t, std::string_view) { state_->At(now); }
-std::size_t Balancer::servers_avoided(Micros now) { return state_->At(now).Avoided(); }
-std::size_t Balancer::pending_request_count() const { return state_->size(); }
-std::uint64_t Balancer::ring_rebuild_count() const { return state_->walks(); }
+void Balancer::OnTimer(Micros now, std::uint64_t token) { state_->AdvanceTo(now).OnTimer(token); }
+void Balancer::OnProbed(Micros now, const ProbeResult&) { state_->AdvanceTo(now); }
+void Balancer::OnPeerMessage(Micros now, std::uint32_t, std::string_view) { state_->AdvanceTo(now); }
+std::size_t Balancer::servers_avoided(Micros now) { return state_->AdvanceTo(now).ServersAvoided(); }
+std::size_t Balancer::pending_request_count() const { return state_->pending_request_count(); }
+std::uint64_t Balancer::ring_rebuild_count() const { return state_->ring_rebuild_count(); }
 
 }  // namespace merlinrun
