--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,7 @@
-// Seeded random but legal histories, watched by a checker of the four rules as far as one sidecar can see
-// them. The checker knows nothing of the module: it sees events and actions alone.
+// Property tests: runs a Balancer through random but valid sequences of events and checks that it obeys the
+// rules that a single sidecar can be held to: no new requests to a draining server, no repeat of a request
+// that must not run twice, order among requests with the same key, and one answer in time to each request.
+// The checker sees only events and actions and shares no code with the balancer.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,189 +18,192 @@
 
 using Kind = Action::Kind;
 
-// Notes each breach in words.
+// Follows the events and actions of one balancer and records each rule violation as a text.
 class RuleChecker {
  public:
-  RuleChecker(Settings settings, Micros slack) : set_(std::move(settings)), slack_(slack) {}
+  RuleChecker(Settings settings, Micros slack) : settings_(std::move(settings)), slack_(slack) {}
 
-  void Listed(Micros now, const ServerInfo& info) {
-    Known& known = servers_[info.id];
+  void OnListed(Micros now, const ServerInfo& info) {
+    ServerRecord& server = servers_[info.id];
     const bool usable = info.state == ServerInfo::State::kHealthy;
-    if (!usable && (known.usable || !known.seen)) known.told = now;
-    known = {info, known.told, usable, true};
+    if (!usable && (server.usable || !server.listed)) server.unusable_since = now;
+    server = {info, server.unusable_since, usable, true};
   }
-  void Missing(Micros now, const std::string& id) {
-    Known& known = servers_[id];
-    if (known.usable) known.told = now;
-    known.usable = false;
+  void OnUnlisted(Micros now, const std::string& id) {
+    ServerRecord& server = servers_[id];
+    if (server.usable) server.unusable_since = now;
+    server.usable = false;
   }
-  void Arrived(Micros now, const std::string& id, int request_class, Micros budget, const std::string& key) {
+  void OnArrival(Micros now, const std::string& id, int request_class, Micros budget,
+                 const std::string& key) {
     requests_[id] = {request_class, now + budget, false, {}};
-    if (set_.classes[static_cast<std::size_t>(request_class)].sequential && !key.empty()) {
+    if (settings_.classes[static_cast<std::size_t>(request_class)].sequential && !key.empty()) {
       requests_[id].key = key;
-      in_order_[key].push_back(id);
+      requests_by_key_[key].push_back(id);
     }
   }
-  void Resolved(Micros now, const std::string& id, int attempt, Result result, bool settled) {
-    Seen& seen = requests_.at(id);
-    Try& tried = seen.tries.at(static_cast<std::size_t>(attempt));
-    tried.out = false;
-    tried.ran = (result != Result::kRefused || set_.refused_may_have_run) && result != Result::kUnreachable &&
-                result != Result::kNeverSent;
+  void OnResolved(Micros now, const std::string& id, int attempt, Result result, bool final_answer_sent) {
+    RequestRecord& request = requests_.at(id);
+    Attempt& resolved = request.attempts.at(static_cast<std::size_t>(attempt));
+    resolved.in_flight = false;
+    resolved.may_have_run = (result != Result::kRefused || settings_.refused_may_have_run) &&
+                            result != Result::kUnreachable && result != Result::kNeverSent;
     if (result == Result::kTimeout || result == Result::kReset || result == Result::kCancelled)
-      seen.settled_at = now + set_.settle_after_doubt;
-    if (settled) seen.ended = true;
+      request.key_free_at = now + settings_.settle_after_doubt;
+    if (final_answer_sent) request.ended = true;
   }
-  void Gone(const std::string& id) { requests_.at(id).ended = true; }
+  void OnDisconnected(const std::string& id) { requests_.at(id).ended = true; }
 
-  void Acted(Micros now, const Action& action) {
+  void OnAction(Micros now, const Action& action) {
     if (action.kind == Kind::kTimer || action.kind == Kind::kSubscribe || action.kind == Kind::kCancel)
       return;
     const auto it = requests_.find(action.request);
-    if (it == requests_.end()) return Breach("an action names an unknown request");
-    Seen& seen = it->second;
-    if (seen.ended) return Breach("an action for an ended request");
-    const RequestClass& c = set_.classes[static_cast<std::size_t>(seen.request_class)];
-    const Try* ran = nullptr;
-    for (const Try& tried : seen.tries)
-      if (ran == nullptr && tried.ran) ran = &tried;
+    if (it == requests_.end()) return Report("action for an unknown request");
+    RequestRecord& request = it->second;
+    if (request.ended) return Report("action for a request that has ended");
+    const RequestClass& c = settings_.classes[static_cast<std::size_t>(request.request_class)];
+    const Attempt* prior_run = nullptr;
+    for (const Attempt& earlier_attempt : request.attempts)
+      if (prior_run == nullptr && earlier_attempt.may_have_run) prior_run = &earlier_attempt;
     if (action.kind == Kind::kSend) {
-      const Known& server = servers_[action.server];
-      if (!server.seen) Breach("sent to a server that was never listed");
-      if (server.seen && !server.usable && now > server.told + set_.drain_grace)
-        Breach("sent to a draining server");
-      for (const Try& tried : seen.tries)
-        if (tried.out && !set_.parallel_attempts) Breach("two attempts at once");
-      if (static_cast<int>(seen.tries.size()) >= set_.max_attempts) Breach("too many attempts");
-      if (now > seen.deadline) Breach("sent after the deadline");
-      for (const std::string& before : in_order_[seen.key]) {
-        if (before == action.request) break;
-        const Seen& earlier = requests_.at(before);
-        for (const Try& tried : earlier.tries)
-          if (tried.out) Breach("sent while an earlier one of the key was out");
-        if (!earlier.ended) Breach("sent before an earlier one of the key was over");
-        if (now < earlier.settled_at) Breach("sent before the key had settled");
+      const ServerRecord& server = servers_[action.server];
+      if (!server.listed) Report("sent to a server that was never listed");
+      if (server.listed && !server.usable && now > server.unusable_since + settings_.drain_grace)
+        Report("sent to a draining server");
+      for (const Attempt& earlier_attempt : request.attempts)
+        if (earlier_attempt.in_flight && !settings_.parallel_attempts)
+          Report("two attempts in flight at once");
+      if (static_cast<int>(request.attempts.size()) >= settings_.max_attempts) Report("too many attempts");
+      if (now > request.deadline) Report("sent after the deadline");
+      for (const std::string& id : requests_by_key_[request.key]) {
+        if (id == action.request) break;
+        const RequestRecord& earlier = requests_.at(id);
+        for (const Attempt& earlier_attempt : earlier.attempts)
+          if (earlier_attempt.in_flight) Report("sent while an earlier request of the key was in flight");
+        if (!earlier.ended) Report("sent before an earlier request of the key had ended");
+        if (now < earlier.key_free_at) Report("sent before the wait after a doubtful outcome was over");
       }
-      if (ran != nullptr && c.repeat == Repeat::kNever) Breach("an effect may happen twice");
-      if (ran != nullptr && c.repeat == Repeat::kDeduplicated) {
-        if (now >= ran->sent + c.dedup_window) Breach("repeated after the window");
-        if (c.dedup_group == DedupGroup::kZone && ran->zone != server.info.zone)
-          Breach("repeated outside the group");
-        if (c.dedup_group == DedupGroup::kCell && ran->cell != server.info.cell)
-          Breach("repeated outside the group");
+      if (prior_run != nullptr && c.repeat == Repeat::kNever)
+        Report("request that must not be repeated was sent again");
+      if (prior_run != nullptr && c.repeat == Repeat::kDeduplicated) {
+        if (now >= prior_run->sent + c.dedup_window) Report("repeated after the deduplication window");
+        if (c.dedup_group == DedupGroup::kZone && prior_run->zone != server.info.zone)
+          Report("repeated outside the deduplication group");
+        if (c.dedup_group == DedupGroup::kCell && prior_run->cell != server.info.cell)
+          Report("repeated outside the deduplication group");
       }
-      seen.tries.push_back({now, server.info.zone, server.info.cell, true, true});
+      request.attempts.push_back({now, server.info.zone, server.info.cell, true, true});
       return;
     }
-    if (now > seen.deadline + slack_) Breach("answered late");
-    if (action.kind == Kind::kRefuse && ran != nullptr && c.repeat != Repeat::kSafe &&
+    if (now > request.deadline + slack_) Report("answered after the deadline");
+    if (action.kind == Kind::kRefuse && prior_run != nullptr && c.repeat != Repeat::kSafe &&
         !(c.repeat == Repeat::kDeduplicated && c.dedup_group == DedupGroup::kAll))
-      Breach("refused what may have run");
-    seen.ended = true;
+      Report("refused a request that may have run");
+    request.ended = true;
   }
   void Finish() {
-    for (const auto& [id, seen] : requests_)
-      if (!seen.ended) Breach("a request without an answer");
+    for (const auto& [id, request] : requests_)
+      if (!request.ended) Report("request without an answer");
   }
-  const std::set<std::string>& breaches() const { return breaches_; }
+  const std::set<std::string>& violations() const { return violations_; }
 
  private:
-  struct Known {
+  struct ServerRecord {
     ServerInfo info;
-    Micros told = 0;
+    Micros unusable_since = 0;  // when the balancer was told
     bool usable = false;
-    bool seen = false;
+    bool listed = false;
   };
-  struct Try {
+  struct Attempt {
     Micros sent;
     int zone;
     std::int64_t cell;
-    bool out;
-    bool ran;
+    bool in_flight;
+    bool may_have_run;
   };
-  struct Seen {
+  struct RequestRecord {
     int request_class;
     Micros deadline;
     bool ended;
-    std::vector<Try> tries;
+    std::vector<Attempt> attempts;
     std::string key = {};
-    Micros settled_at = 0;
+    Micros key_free_at = 0;  // no request of the key may be sent before
   };
-  void Breach(const std::string& what) { breaches_.insert(what); }
+  void Report(const std::string& violation) { violations_.insert(violation); }
 
-  Settings set_;
+  Settings settings_;
   Micros slack_;
-  std::map<std::string, Known> servers_;
-  std::map<std::string, Seen> requests_;
-  std::map<std::string, std::vector<std::string>> in_order_;
-  std::set<std::string> breaches_;
+  std::map<std::string, ServerRecord> servers_;
+  std::map<std::string, RequestRecord> requests_;
+  std::map<std::string, std::vector<std::string>> requests_by_key_;
+  std::set<std::string> violations_;
 };
 
-// Between the module and the checker; a test double spoils actions here.
-using Spoil = std::function<void(Action&)>;
+// Alters an action between the balancer and the checker, to inject a fault that the checker has to find.
+using AlterAction = std::function<void(Action&)>;
 
-struct Story {
-  std::set<std::string> breaches;
+struct RunResult {
+  std::set<std::string> violations;
   int sends = 0, repeats = 0, refusals = 0, failures = 0;
-  std::size_t held = 0;
+  std::size_t pending = 0;  // requests that the balancer still holds at the end
 };
 
-// Plays one random history: arrivals, all outcomes, lists that change, clients that leave, timers.
-// The checker goes by `rules`, if they are not what the module is told.
-Story Play(std::uint64_t seed, const Settings& settings, const Spoil& spoil,
-           const Settings* rules = nullptr) {
+// Runs one random sequence of events: arrivals, outcomes of every kind, changes of the list, clients that
+// disconnect, timers. The checker applies `rules` if given, otherwise the balancer's own `settings`.
+RunResult RunRandomEvents(std::uint64_t seed, const Settings& settings, const AlterAction& alter,
+                          const Settings* rules = nullptr) {
   std::mt19937_64 random(seed);
   const auto below = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
-  struct Pending {
+  struct Scheduled {
     Micros at;
     int order;
     Action action;
     int attempt;
-    bool operator<(const Pending& o) const { return std::pair(at, order) < std::pair(o.at, o.order); }
+    bool operator<(const Scheduled& o) const { return std::pair(at, order) < std::pair(o.at, o.order); }
   };
-  Story story;
+  RunResult run;
   Recorder sink;
   std::string error;
   Micros now = 50 * kSec;
   auto balancer = Balancer::Create(settings, seed, now, sink, error);
   RuleChecker checker(rules != nullptr ? *rules : settings, 20 * kMs);
-  std::set<Pending> pending;
+  std::set<Scheduled> scheduled;
   std::map<std::string, Micros> deadline;
   std::map<std::string, int> attempts;
-  std::set<std::string> settled;
+  std::set<std::string> ended;
   int order = 0;
   const auto collect = [&] {
     for (Action action : sink.Take()) {
-      if (spoil) spoil(action);
-      checker.Acted(now, action);
+      if (alter) alter(action);
+      checker.OnAction(now, action);
       if (action.kind == Kind::kSend) {
-        ++story.sends;
+        ++run.sends;
         const int attempt = attempts[action.request]++;
-        story.repeats += attempt > 0;
+        run.repeats += attempt > 0;
         Micros at = now + 1 * kMs + below(3000) * kMs;
         if (action.time > 0) at = std::min(at, now + action.time);
-        pending.insert({std::min(at, deadline[action.request]), order++, action, attempt});
+        scheduled.insert({std::min(at, deadline[action.request]), order++, action, attempt});
       } else if (action.kind == Kind::kTimer) {
-        pending.insert({now + action.time + 5 * kMs, order++, action, 0});
+        scheduled.insert({now + action.time + 5 * kMs, order++, action, 0});
       } else if (action.kind == Kind::kRefuse || action.kind == Kind::kFail) {
-        ++(action.kind == Kind::kRefuse ? story.refusals : story.failures);
-        settled.insert(action.request);
+        ++(action.kind == Kind::kRefuse ? run.refusals : run.failures);
+        ended.insert(action.request);
       }
     }
   };
   std::vector<ServerInfo> servers = MakeServers(12);
   const auto list = [&](ListUpdate::Kind kind, const std::vector<ServerInfo>& entries) {
-    for (const ServerInfo& info : entries) checker.Listed(now, info);
+    for (const ServerInfo& info : entries) checker.OnListed(now, info);
     balancer->OnServers(now, {kind, 1, entries});
     collect();
   };
   list(ListUpdate::Kind::kStale, servers);
-  std::vector<std::string> alive;
+  std::vector<std::string> request_ids;
   for (int i = 0; i < 600; ++i) {
     now += below(20) * kMs;
-    while (!pending.empty() && pending.begin()->at <= now) {
-      const Pending next = *pending.begin();
-      pending.erase(pending.begin());
+    while (!scheduled.empty() && scheduled.begin()->at <= now) {
+      const Scheduled next = *scheduled.begin();
+      scheduled.erase(scheduled.begin());
       const Micros resume = now;
       now = std::max(next.at, now);
       if (next.action.kind == Kind::kTimer) {
@@ -209,37 +214,38 @@
             Result::kError,   Result::kReset,   Result::kUnreachable, Result::kTimeout, Result::kCancelled};
         const std::string& id = next.action.request;
         const Result result = next.at >= deadline[id] ? Result::kTimeout : kResults[below(10)];
-        if (result == Result::kSuccess) settled.insert(id);
-        const bool done = settled.count(id) > 0;
-        checker.Resolved(now, id, next.attempt, result, done);
-        balancer->OnOutcome(now, {id, next.attempt, result, 10 * kMs, done});
+        if (result == Result::kSuccess) ended.insert(id);
+        const bool has_ended = ended.count(id) > 0;
+        checker.OnResolved(now, id, next.attempt, result, has_ended);
+        balancer->OnOutcome(now, {id, next.attempt, result, 10 * kMs, has_ended});
       }
       collect();
       now = std::max(now, resume);
     }
-    const int what = below(20);
-    if (what == 0) {  // a server drains, goes, or comes (back) cold
+    const int choice = below(20);
+    if (choice == 0) {  // a server starts to drain, goes away, or starts and is in slow start
       ServerInfo& info = servers[static_cast<std::size_t>(below(12))];
       info.state = static_cast<ServerInfo::State>(below(3));
       if (info.state == ServerInfo::State::kHealthy) info.started = now - below(3000) * kMs;
       list(ListUpdate::Kind::kDelta, {info});
-    } else if (what == 1) {  // the whole list: gone ones are absent
+    } else if (choice == 1) {  // the full list, without the servers that are gone
       std::vector<ServerInfo> present;
       for (const ServerInfo& info : servers) {
         if (info.state == ServerInfo::State::kGone) {
-          checker.Missing(now, info.id);
+          checker.OnUnlisted(now, info.id);
         } else {
           present.push_back(info);
         }
       }
       list(ListUpdate::Kind::kFull, present);
-    } else if (what == 2) {
+    } else if (choice == 2) {
       balancer->OnServers(now, {ListUpdate::Kind::kFailed, 0, {}});
       collect();
-    } else if (what == 3 && !alive.empty()) {
-      const std::string& id = alive[static_cast<std::size_t>(below(static_cast<int>(alive.size())))];
-      if (settled.insert(id).second) {
-        checker.Gone(id);
+    } else if (choice == 3 && !request_ids.empty()) {
+      const std::string& id =
+          request_ids[static_cast<std::size_t>(below(static_cast<int>(request_ids.size())))];
+      if (ended.insert(id).second) {
+        checker.OnDisconnected(id);
         balancer->OnClientDisconnected(now, id);
         collect();
       }
@@ -250,130 +256,135 @@
       request.request_class = below(4);
       request.budget = (1 + below(4000)) * kMs;
       deadline[id] = now + request.budget;
-      alive.push_back(id);
+      request_ids.push_back(id);
       const std::string key = below(4) == 0 ? "" : "k" + std::to_string(below(6));
       request.key = key;
-      checker.Arrived(now, id, request.request_class, request.budget, key);
+      checker.OnArrival(now, id, request.request_class, request.budget, key);
       balancer->OnRequest(now, request);
       collect();
     }
   }
-  while (!pending.empty()) {  // all that is still owed comes in
-    const Pending next = *pending.begin();
-    pending.erase(pending.begin());
+  while (!scheduled.empty()) {  // deliver the remaining timers and outcomes
+    const Scheduled next = *scheduled.begin();
+    scheduled.erase(scheduled.begin());
     now = std::max(now, next.at);
     if (next.action.kind == Kind::kTimer) {
       balancer->OnTimer(now, next.action.token);
     } else {
       const std::string& id = next.action.request;
-      const bool done = settled.count(id) > 0;
-      checker.Resolved(now, id, next.attempt, Result::kTimeout, done);
-      balancer->OnOutcome(now, {id, next.attempt, Result::kTimeout, 10 * kMs, done});
+      const bool has_ended = ended.count(id) > 0;
+      checker.OnResolved(now, id, next.attempt, Result::kTimeout, has_ended);
+      balancer->OnOutcome(now, {id, next.attempt, Result::kTimeout, 10 * kMs, has_ended});
     }
     collect();
   }
   checker.Finish();
-  story.breaches = checker.breaches();
-  story.held = balancer->pending_request_count();
-  return story;
+  run.violations = checker.violations();
+  run.pending = balancer->pending_request_count();
+  return run;
 }
 
-std::vector<Settings> Variants() {
-  Settings push = MakeSettings();
-  Settings ask = MakeSettings();
-  ask.must_subscribe = true;
-  ask.zone = 0;
-  ask.cost_cross_zone = 0.2;
-  for (RequestClass& c : ask.classes) c.value = 3;
-  Settings cell = MakeSettings();
-  cell.classes[1].dedup_group = DedupGroup::kCell;
-  cell.max_attempts = 2;
-  cell.max_retry_after = 0;
-  Settings full = MakeSettings();
-  full.refused_may_have_run = true;
-  Settings order = MakeSettings();
-  order.settle_after_doubt = 40 * kMs;
-  order.classes[0].sequential = order.classes[1].sequential = order.classes[2].sequential = true;
-  Settings both = order;
-  both.refused_may_have_run = true;
-  both.classes[1].dedup_group = DedupGroup::kCell;
-  both.settle_after_doubt = 0;
-  both.must_subscribe = true;
-  return {push, ask, cell, full, order, both};
+// The kinds of deployment that the rules are checked for.
+std::vector<Settings> SettingsVariants() {
+  Settings base = MakeSettings();
+  Settings subscribing = MakeSettings();
+  subscribing.must_subscribe = true;
+  subscribing.zone = 0;
+  subscribing.cost_cross_zone = 0.2;
+  for (RequestClass& c : subscribing.classes) c.value = 3;
+  Settings cell_dedup = MakeSettings();
+  cell_dedup.classes[1].dedup_group = DedupGroup::kCell;
+  cell_dedup.max_attempts = 2;
+  cell_dedup.max_retry_after = 0;
+  Settings refused_may_run = MakeSettings();
+  refused_may_run.refused_may_have_run = true;
+  Settings sequential_keys = MakeSettings();
+  sequential_keys.settle_after_doubt = 40 * kMs;
+  sequential_keys.classes[0].sequential = sequential_keys.classes[1].sequential =
+      sequential_keys.classes[2].sequential = true;
+  Settings sequential_refused_may_run = sequential_keys;
+  sequential_refused_may_run.refused_may_have_run = true;
+  sequential_refused_may_run.classes[1].dedup_group = DedupGroup::kCell;
+  sequential_refused_may_run.settle_after_doubt = 0;
+  sequential_refused_may_run.must_subscribe = true;
+  return {base, subscribing, cell_dedup, refused_may_run, sequential_keys, sequential_refused_may_run};
 }
 
-TEST(Rules, KeptInRandomHistories) {
-  Story sum;
-  for (const Settings& settings : Variants()) {
+TEST(Rules, HoldInRandomEventSequences) {
+  RunResult sum;
+  for (const Settings& settings : SettingsVariants()) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-      const Story story = Play(seed, settings, nullptr);
-      ASSERT_TRUE(story.breaches.empty()) << "seed " << seed << ": " << *story.breaches.begin();
-      ASSERT_EQ(story.held, 0u) << "seed " << seed;
-      sum.sends += story.sends;
-      sum.repeats += story.repeats;
-      sum.refusals += story.refusals;
-      sum.failures += story.failures;
+      const RunResult run = RunRandomEvents(seed, settings, nullptr);
+      ASSERT_TRUE(run.violations.empty()) << "seed " << seed << ": " << *run.violations.begin();
+      ASSERT_EQ(run.pending, 0u) << "seed " << seed;
+      sum.sends += run.sends;
+      sum.repeats += run.repeats;
+      sum.refusals += run.refusals;
+      sum.failures += run.failures;
     }
   }
-  // The histories are worth something only if all of this happened in them.
+  // Make sure that the random sequences covered these cases.
   EXPECT_GT(sum.sends, 10000);
   EXPECT_GT(sum.repeats, 1000);
   EXPECT_GT(sum.refusals, 1000);
   EXPECT_GT(sum.failures, 1000);
 }
 
-// What sixty histories break between them.
-std::set<std::string> Breaches(const Settings& settings, const Spoil& spoil,
-                               const Settings* rules = nullptr) {
+// All violations found in sixty random sequences.
+std::set<std::string> FindViolations(const Settings& settings, const AlterAction& alter,
+                                     const Settings* rules = nullptr) {
   std::set<std::string> all;
-  for (std::uint64_t seed = 1; seed <= 60; ++seed) all.merge(Play(seed, settings, spoil, rules).breaches);
+  for (std::uint64_t seed = 1; seed <= 60; ++seed)
+    all.merge(RunRandomEvents(seed, settings, alter, rules).violations);
   return all;
 }
 
-// The checker has to see what it is there for: each double breaks one rule on purpose.
-TEST(Rules, TheCheckerSeesEachBreach) {
-  const auto breaches = [](const Spoil& spoil) { return Breaches(MakeSettings(), spoil); };
-  EXPECT_TRUE(breaches([](Action& a) {
+// Tests the checker itself: each fault breaks one rule on purpose and has to be reported.
+TEST(Rules, CheckerReportsEachInjectedFault) {
+  const auto violations = [](const AlterAction& alter) { return FindViolations(MakeSettings(), alter); };
+  EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kFail) a.kind = Kind::kRefuse;
-              }).count("refused what may have run"));
-  EXPECT_TRUE(breaches([](Action& a) {
+              }).count("refused a request that may have run"));
+  EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kSend) a.server = "s03";
               }).count("sent to a draining server"));
-  EXPECT_TRUE(breaches([n = 0](Action& a) mutable {
+  EXPECT_TRUE(violations([n = 0](Action& a) mutable {
                 if (a.kind == Kind::kSend) a.server = n++ % 2 == 0 ? "s02" : "s03";
-              }).count("repeated outside the group"));
-  EXPECT_TRUE(breaches([](Action& a) {
+              }).count("repeated outside the deduplication group"));
+  EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kFail) a.kind = Kind::kCancel;
-              }).count("a request without an answer"));
-  EXPECT_TRUE(breaches([](Action& a) {
+              }).count("request without an answer"));
+  EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kFail) {
                   a.kind = Kind::kSend;
                   a.server = "s01";
                 }
-              }).count("an effect may happen twice"));
+              }).count("request that must not be repeated was sent again"));
 }
 
-// The further rules: a module that is not told of them (the settings are kept from it) breaks each.
-TEST(Rules, TheCheckerSeesWhatAModuleWithoutTheFurtherRulesBreaks) {
-  Settings both = Variants().back();
-  both.settle_after_doubt = 500 * kMs;
-  Settings untold = both;
-  untold.refused_may_have_run = false;
-  untold.settle_after_doubt = 0;
-  std::set<std::string> all = Breaches(untold, nullptr, &both);
-  EXPECT_TRUE(all.count("refused what may have run"));
-  EXPECT_TRUE(all.count("an effect may happen twice"));
-  EXPECT_TRUE(all.count("repeated outside the group"));
-  EXPECT_TRUE(all.count("sent before the key had settled"));
-  for (RequestClass& c : untold.classes) c.sequential = false;
-  all.merge(Breaches(untold, nullptr, &both));
-  EXPECT_TRUE(all.count("sent while an earlier one of the key was out"));
-  EXPECT_TRUE(all.count("sent before an earlier one of the key was over"));
+// Tests the checker on the optional rules (refusals that prove nothing, order by key, the wait after a
+// doubtful outcome): a balancer whose settings leave them out breaks each of them, and the checker has to
+// report it.
+TEST(Rules, CheckerReportsABalancerWithoutTheOptionalRules) {
+  Settings complete = SettingsVariants().back();
+  complete.settle_after_doubt = 500 * kMs;
+  Settings incomplete = complete;
+  incomplete.refused_may_have_run = false;
+  incomplete.settle_after_doubt = 0;
+  std::set<std::string> all = FindViolations(incomplete, nullptr, &complete);
+  EXPECT_TRUE(all.count("refused a request that may have run"));
+  EXPECT_TRUE(all.count("request that must not be repeated was sent again"));
+  EXPECT_TRUE(all.count("repeated outside the deduplication group"));
+  EXPECT_TRUE(all.count("sent before the wait after a doubtful outcome was over"));
+  for (RequestClass& c : incomplete.classes) c.sequential = false;
+  all.merge(FindViolations(incomplete, nullptr, &complete));
+  EXPECT_TRUE(all.count("sent while an earlier request of the key was in flight"));
+  EXPECT_TRUE(all.count("sent before an earlier request of the key had ended"));
 }
 
-TEST(Rules, TheSameEventsGiveTheSameActions) {
-  const Story one = Play(5, MakeSettings(), nullptr);
-  const Story two = Play(5, MakeSettings(), nullptr);
+TEST(Rules, SameEventsGiveTheSameActions) {
+  const RunResult one = RunRandomEvents(5, MakeSettings(), nullptr);
+  const RunResult two = RunRandomEvents(5, MakeSettings(), nullptr);
   EXPECT_EQ(one.sends, two.sends);
   EXPECT_EQ(one.refusals, two.refusals);
   EXPECT_EQ(one.failures, two.failures);
