--- a/tests/outdated_list_test.cpp
+++ b/tests/stale_list_test.cpp
@@ -1,4 +1,4 @@
-// What is sent while the list of servers is out of date.
+// Tests when a Balancer pauses dispatch because its list of servers may be stale.
 #include <gtest/gtest.h>
 
 #include "harness.hpp"
@@ -11,16 +11,16 @@
 using testing::kSec;
 using Kind = Action::Kind;
 
-class OutdatedListTest : public ::testing::Test {
+class StaleListTest : public ::testing::Test {
  protected:
-  OutdatedListTest() {
+  StaleListTest() {
     std::string error;
     balancer = Balancer::Create(testing::MakeSettings(), 7, 0, sink, error);
     const auto servers = testing::MakeServers(4);
     balancer->OnServers(0, {ListUpdate::Kind::kFull, 1, servers});
     sink.Take();
   }
-  // What becomes of a new request at once.
+  // Delivers a new request and returns the immediate actions.
   std::vector<Action> Arrive(Micros now) {
     Request request;
     const std::string id = "r" + std::to_string(++arrived);
@@ -29,6 +29,7 @@
     balancer->OnRequest(now, request);
     return sink.Take();
   }
+  // Whether a new request is sent at once; DispatchPaused has to agree.
   bool Sends(Micros now) {
     const auto actions = Arrive(now);
     const bool sent = actions.at(0).kind == Kind::kSend;
@@ -41,8 +42,9 @@
   int arrived = 0;
 };
 
-// The grace of a drain is 500 ms here, of which 205 ms are left for being held up after the decision.
-TEST_F(OutdatedListTest, NothingIsSentPastTheGraceOfADrainThatMayHaveBeenMissed) {
+// The drain grace is 500 ms here. The guard keeps 205 ms of it for a delay between the decision and the
+// write.
+TEST_F(StaleListTest, PausesDispatchOnceTheGraceOfAPossiblyMissedDrainEnds) {
   balancer->OnListStaleness(10 * kSec, 12 * kSec);
   EXPECT_TRUE(Sends(12 * kSec + 290 * kMs));
   EXPECT_FALSE(Sends(12 * kSec + 300 * kMs));
@@ -50,29 +52,29 @@
   EXPECT_TRUE(Sends(13 * kSec));
 }
 
-TEST_F(OutdatedListTest, AnOutageLaterOnPutsOffTheHold) {
+TEST_F(StaleListTest, ALaterOutagePostponesThePause) {
   balancer->OnListStaleness(10 * kSec, 12 * kSec);
   balancer->OnListStaleness(12 * kSec, 16 * kSec);
   EXPECT_TRUE(Sends(15 * kSec));
   EXPECT_FALSE(Sends(17 * kSec));
 }
 
-// A discovery that stays overloaded must not stop all service.
-TEST_F(OutdatedListTest, RequestsAreHeldForFiveSecondsAtMostUntilTheListIsCurrentAgain) {
+// If discovery stays overloaded, service has to go on with the last list after a limited pause.
+TEST_F(StaleListTest, PausesForFiveSecondsAtMostPerStalePeriodWhenChangesAreOnlyPossible) {
   balancer->OnListStaleness(10 * kSec, 12 * kSec);
   EXPECT_FALSE(Sends(13 * kSec));
   EXPECT_FALSE(Sends(18 * kSec - 1 * kMs));
   EXPECT_TRUE(Sends(18 * kSec));
-  balancer->OnListStaleness(19 * kSec, 19 * kSec);  // another failed call
+  balancer->OnListStaleness(19 * kSec, 19 * kSec);  // another failed call does not start a new pause
   EXPECT_TRUE(Sends(20 * kSec));
   balancer->OnListStaleness(21 * kSec, std::nullopt);
   balancer->OnListStaleness(22 * kSec, 22 * kSec);
   EXPECT_FALSE(Sends(23 * kSec));
 }
 
-// Guards against requests to a drained server once the hold is over and the outage is not: its drain was told
-// by half.
-TEST_F(OutdatedListTest, WhatWasToldByHalfIsHeldForUntilTheListIsCurrentAgain) {
+// If discovery has announced a change that did not arrive complete, a server may already be draining.
+// Ending the pause before the list is current would then send requests to a drained server.
+TEST_F(StaleListTest, PausesUntilTheListIsCurrentWhenAnAnnouncedChangeWasMissed) {
   balancer->OnListStaleness(10 * kSec, 10 * kSec, MissedChanges::kAnnounced);
   EXPECT_FALSE(Sends(11 * kSec));
   EXPECT_FALSE(Sends(100 * kSec));
@@ -80,7 +82,7 @@
   EXPECT_TRUE(Sends(101 * kSec));
 }
 
-TEST_F(OutdatedListTest, AHeldRequestIsSentWhenTheListIsCurrentOrRefusedInTime) {
+TEST_F(StaleListTest, APendingRequestIsSentWhenTheListIsCurrentOrRefusedBeforeItsDeadline) {
   balancer->OnListStaleness(10 * kSec, 10 * kSec);
   auto actions = Arrive(11 * kSec);
   ASSERT_EQ(actions.size(), 1U);
