--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// fennelhollow: a sidecar that balances the load of the application beside it over its servers.
-// Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the configuration makes no sense.
+// fennelhollow: a sidecar that balances the requests of the application beside it over a set of servers.
+// Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the configuration is invalid.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -14,10 +14,11 @@
 
 using merlinrun::net::Sidecar;
 
-const char* Environment(const char* name) { return std::getenv(name); }
+const char* GetEnvironment(const char* name) { return std::getenv(name); }
 
-// What escapes a handler ends that handler and not the sidecar, with all that it holds.
-void RunToTheEnd(boost::asio::io_context& io) {
+// Runs the event loop until it is stopped. An exception from a handler is logged and ends that handler alone:
+// the process goes on, as its end would fail every pending request.
+void RunUntilStopped(boost::asio::io_context& io) {
   for (;;) {
     try {
       io.run();
@@ -28,20 +29,22 @@
   }
 }
 
-// Reads the configuration again at each SIGHUP. A file that makes no sense is told, and changes nothing.
+// Reads the configuration again at each SIGHUP. An invalid file is logged and changes nothing.
 class Reloader {
  public:
   explicit Reloader(boost::asio::io_context& io) : signals_(io, SIGHUP) {}
 
-  void Serve(Sidecar& sidecar) {
+  // Starts to reload `sidecar`, which must outlive the event loop, at each SIGHUP.
+  void WaitForSignal(Sidecar& sidecar) {
     signals_.async_wait([this, &sidecar](const boost::system::error_code& stopped, int) {
       if (stopped) return;
       try {
-        sidecar.Reload(merlinrun::net::ReloadConfig(Environment));
+        sidecar.Reload(merlinrun::net::ReloadConfig(GetEnvironment));
       } catch (const std::exception& error) {
-        std::fprintf(stderr, "fennelhollow: the configuration is kept as it was: %s\n", error.what());
+        std::fprintf(stderr, "fennelhollow: reload failed, the current configuration is kept: %s\n",
+                     error.what());
       }
-      Serve(sidecar);
+      WaitForSignal(sidecar);
     });
   }
 
@@ -49,13 +52,15 @@
   boost::asio::signal_set signals_;
 };
 
-int Serve() {
+// Returns the exit status.
+int RunSidecar() {
   boost::asio::io_context io(1);
-  Reloader reloader(io);  // before all else: from here on SIGHUP ends nothing, it waits for the loop
-  Sidecar sidecar(io, merlinrun::net::LoadConfig(Environment));
-  reloader.Serve(sidecar);
-  boost::asio::signal_set signals(io, SIGTERM, SIGINT);
-  signals.async_wait([&](const boost::system::error_code& error, int) {
+  // Before all else: from here on SIGHUP waits for the event loop instead of ending the process.
+  Reloader reloader(io);
+  Sidecar sidecar(io, merlinrun::net::LoadConfig(GetEnvironment));
+  reloader.WaitForSignal(sidecar);
+  boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT);
+  stop_signals.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) sidecar.Drain([&io] { io.stop(); });
   });
   try {
@@ -64,16 +69,17 @@
     std::fprintf(stderr, "fennelhollow: cannot listen: %s\n", error.what());
     return 1;
   }
-  RunToTheEnd(io);
+  RunUntilStopped(io);
   return 0;
 }
 
 }  // namespace
 
 int main() {
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that has left is an error of the write, not the end
+  // A write to a closed connection then fails with EPIPE instead of ending the process.
+  std::signal(SIGPIPE, SIG_IGN);
   try {
-    return Serve();
+    return RunSidecar();
   } catch (const std::exception& error) {
     std::fprintf(stderr, "fennelhollow: %s\n", error.what());
     return 2;
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -14,26 +14,29 @@
 
 using Json = nlohmann::json;
 
-constexpr double kMostExact = 9007199254740992.0;  // 2^53: whole numbers are exact up to here
+constexpr double kMaxExactInteger = 9007199254740992.0;  // 2^53; a double holds larger ones inexactly
 
-std::string Scalar(const Json& value) {
+// Formats a JSON value that is no object and no list.
+std::string FormatScalar(const Json& value) {
   if (value.is_string()) return WireName(value.get<std::string>());
-  if (value.is_number_float()) {  // 250000.0 is a whole number too
+  if (value.is_number_float()) {  // 250000.0 is written as 250000
     const double number = value.get<double>();
-    if (std::trunc(number) == number && std::abs(number) < kMostExact)
+    if (std::trunc(number) == number && std::abs(number) < kMaxExactInteger)
       return std::to_string(static_cast<std::int64_t>(number));
   }
   return value.dump();
 }
 
+// Appends the `path=value` pairs of a JSON value to `out`.
 void FlattenInto(const Json& value, const std::string& path, std::string& out);
 
+// A list of scalars becomes one comma-separated pair; a list of objects a count and the pairs of each.
 void FlattenList(const Json& list, const std::string& path, std::string& out) {
   const bool objects =
       std::any_of(list.begin(), list.end(), [](const Json& item) { return item.is_structured(); });
   if (!objects) {
     std::string joined;
-    for (const Json& item : list) joined += (joined.empty() ? "" : ",") + Scalar(item);
+    for (const Json& item : list) joined += (joined.empty() ? "" : ",") + FormatScalar(item);
     out += path + "=" + joined + " ";
     return;
   }
@@ -48,27 +51,28 @@
   } else if (value.is_array()) {
     FlattenList(value, path, out);
   } else if (!value.is_null()) {
-    out += path + "=" + Scalar(value) + " ";
+    out += path + "=" + FormatScalar(value) + " ";
   }
 }
 
-Tcp::endpoint Address(const Json& json, const char* key, const std::string& from_environment) {
+// The address under `key`, or the one from the environment if that is set.
+Tcp::endpoint GetAddress(const Json& json, const char* key, const std::string& from_environment) {
   const std::string text = from_environment.empty() ? json.at(key).get<std::string>() : from_environment;
   const auto address = ParseAddress(text);
-  if (!address) throw ConfigError(std::string(key) + " '" + text + "': not an address with a port");
+  if (!address) throw ConfigError(std::string(key) + " '" + text + "': not an IP address with a port");
   return *address;
 }
 
-std::uint64_t Seed(const Json& json) {
+std::uint64_t ParseSeed(const Json& json) {
   const std::string text = json.value("seed", std::string("0"));
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (error != std::errc() || end != text.data() + text.size())
-    throw ConfigError("seed '" + text + "': not a number of 64 bits in hex");
+    throw ConfigError("seed '" + text + "': not a 64-bit hexadecimal number");
   return seed;
 }
 
-EndpointList Known(const Json& json, const drill::WireSettings& names) {
+EndpointList ParseKnownList(const Json& json, const drill::WireSettings& names) {
   if (!json.contains("known") || json.at("known").is_null()) return {};
   std::string error;
   const auto list = ParseList(json.at("known"), names, error);
@@ -76,18 +80,19 @@
   return *list;
 }
 
-void TakeLimits(const Json& json, Config& config) {
+// Reads the optional limits into `config`; what is missing keeps its default.
+void ParseLimits(const Json& json, Config& config) {
   if (!json.contains("limits")) return;
   const Json& limits = json.at("limits");
   config.sockets = limits.value("sockets", static_cast<std::uint64_t>(config.sockets));
   const double megabytes = limits.value("memory_mb", 64.0);
-  if (config.sockets < 64) throw ConfigError("limits.sockets: under 64, too few to work with");
+  if (config.sockets < 64) throw ConfigError("limits.sockets: the sidecar needs at least 64 to work");
   if (!(megabytes >= 16 && megabytes <= 1e9))
-    throw ConfigError("limits.memory_mb: under 16, too few to work with");
+    throw ConfigError("limits.memory_mb: the sidecar needs at least 16 to work, and at most 1e9");
   config.memory = static_cast<std::size_t>(megabytes * (1 << 20));
 }
 
-std::vector<std::string> ClassNames(const Json& settings) {
+std::vector<std::string> ParseClassNames(const Json& settings) {
   std::vector<std::string> names;
   for (const Json& grade : settings.at("grades")) names.push_back(grade.at("name").get<std::string>());
   return names;
@@ -96,35 +101,37 @@
 Config FromJson(const Json& json, const Overrides& overrides) {
   Config config;
   config.name = json.value("name", std::string());
-  config.listen = Address(json, "listen", overrides.listen);
-  config.discovery = Address(json, "discovery", overrides.discovery);
+  config.listen = GetAddress(json, "listen", overrides.listen);
+  config.discovery = GetAddress(json, "discovery", overrides.discovery);
   if (!overrides.management.empty() || (json.contains("mgmt") && !json.at("mgmt").is_null()))
-    config.management = Address(json, "mgmt", overrides.management);
-  config.seed = Seed(json);
-  TakeLimits(json, config);
+    config.management = GetAddress(json, "mgmt", overrides.management);
+  config.seed = ParseSeed(json);
+  ParseLimits(json, config);
   config.wire = drill::ParseSettings(Flatten(json.at("settings")));
-  config.class_names = ClassNames(json.at("settings"));
-  config.known = Known(json, config.wire);
+  config.class_names = ParseClassNames(json.at("settings"));
+  config.known = ParseKnownList(json, config.wire);
   return config;
 }
 
-std::string Value(const Environment& environment, const char* name) {
+// The value of a variable; empty if it is not set.
+std::string GetOrEmpty(const Environment& environment, const char* name) {
   const char* const text = environment(name);
   return text == nullptr ? "" : text;
 }
 
-std::string OneLine(std::string text) {
+std::string ToOneLine(std::string text) {
   std::replace(text.begin(), text.end(), '\n', ' ');
   return text;
 }
 
-// Guards against a wrong number: what is no listener would be told only when the first client comes.
-std::optional<int> AcceptFd(const std::string& text) {
+// Parses EDGE_ACCEPT_FD and checks that the descriptor is a listening TCP socket: otherwise a wrong number
+// would show only when the first client connects.
+std::optional<int> ParseAcceptFd(const std::string& text) {
   if (text.empty()) return std::nullopt;
   int fd = -1;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), fd);
   if (error != std::errc() || end != text.data() + text.size() || fd < 0)
-    throw ConfigError("EDGE_ACCEPT_FD '" + OneLine(text) + "': not a descriptor's number");
+    throw ConfigError("EDGE_ACCEPT_FD '" + ToOneLine(text) + "': not a file descriptor number");
   int listens = 0;
   socklen_t size = sizeof listens;
   sockaddr_storage address{};
@@ -137,7 +144,7 @@
 }
 
 std::string ReadFile(const Environment& environment) {
-  const std::string path = Value(environment, "EDGE_CONFIG");
+  const std::string path = GetOrEmpty(environment, "EDGE_CONFIG");
   if (path.empty()) throw ConfigError("EDGE_CONFIG: not set");
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
@@ -157,7 +164,7 @@
 std::string Flatten(const Json& settings) {
   std::string out;
   FlattenInto(settings, "", out);
-  if (!out.empty()) out.pop_back();  // the last space
+  if (!out.empty()) out.pop_back();  // the trailing space
   return out;
 }
 
@@ -165,24 +172,24 @@
   try {
     return FromJson(Json::parse(text), overrides);
   } catch (const Json::exception& error) {
-    throw ConfigError(OneLine(error.what()));
+    throw ConfigError(ToOneLine(error.what()));
   } catch (const drill::WireError& error) {
-    throw ConfigError(OneLine(std::string("settings: ") + error.what()));
+    throw ConfigError(ToOneLine(std::string("settings: ") + error.what()));
   }
 }
 
 Config LoadConfig(const Environment& environment) {
-  Config config = ParseConfig(ReadFile(environment),
-                              {Value(environment, "EDGE_LISTEN"), Value(environment, "EDGE_DISCOVERY"),
-                               Value(environment, "EDGE_MGMT")});
-  config.accept_fd = AcceptFd(Value(environment, "EDGE_ACCEPT_FD"));
-  config.shared_dir = Value(environment, "TMPDIR");
+  Config config = ParseConfig(ReadFile(environment), {GetOrEmpty(environment, "EDGE_LISTEN"),
+                                                      GetOrEmpty(environment, "EDGE_DISCOVERY"),
+                                                      GetOrEmpty(environment, "EDGE_MGMT")});
+  config.accept_fd = ParseAcceptFd(GetOrEmpty(environment, "EDGE_ACCEPT_FD"));
+  config.shared_dir = GetOrEmpty(environment, "TMPDIR");
   return config;
 }
 
 Config ReloadConfig(const Environment& environment) {
   return ParseConfig(ReadFile(environment),
-                     {Value(environment, "EDGE_LISTEN"), "", Value(environment, "EDGE_MGMT")});
+                     {GetOrEmpty(environment, "EDGE_LISTEN"), "", GetOrEmpty(environment, "EDGE_MGMT")});
 }
 
 }  // namespace merlinrun::net
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -1,4 +1,4 @@
-// What the sidecar is told at its start: the environment and the JSON configuration.
+// The configuration of a sidecar: a JSON file and a few environment variables.
 #ifndef MERLINRUN_NET_CONFIG_HPP_
 #define MERLINRUN_NET_CONFIG_HPP_
 
@@ -17,47 +17,54 @@
 
 namespace merlinrun::net {
 
+// The configuration cannot be used. The message is one line of text.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// A parsed and checked configuration.
 struct Config {
   std::string name;
   Tcp::endpoint listen;
   Tcp::endpoint discovery;
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;                  // descriptors that the process may hold
-  std::size_t memory = std::size_t{64} << 20;  // bytes that it may use
-  std::optional<Tcp::endpoint> management;     // the operators' door; none if it is not configured
-  std::optional<int> accept_fd;                // the clients' listener, if the platform holds it
-  std::string shared_dir;                      // kept over an upgrade; empty = none
-  std::vector<std::string> class_names;        // as the settings have them, by index
-  drill::WireSettings wire;
-  EndpointList known;  // the list as this sidecar last had it
+  std::size_t sockets = 1024;                  // maximum number of open file descriptors
+  std::size_t memory = std::size_t{64} << 20;  // maximum memory use in bytes
+  std::optional<Tcp::endpoint> management;     // address of the management endpoint, if there is one
+  std::optional<int> accept_fd;                // listening socket for clients, inherited from the parent
+  std::string shared_dir;                      // shared with the next version's process; empty = none
+  std::vector<std::string> class_names;        // as spelled in the settings, by class index
+  drill::WireSettings wire;                    // the settings of the decision module
+  EndpointList known;                          // the last list of servers that this sidecar had
 };
 
-// The settings in the form that the adapter reads, path=value pairs: one mapping of names serves both.
+// Converts the JSON settings to the `path=value` pairs that drill::ParseSettings reads, so that the sidecar
+// and the bench adapter share one mapping of setting names.
 std::string Flatten(const nlohmann::json& settings);
 
-// As the wire writes names: no spaces and no commas.
+// Replaces the spaces and commas of a name by underscores, as both are separators in the `path=value` pairs.
 std::string WireName(std::string_view name);
 
-// What the environment says instead of the file; empty = nothing.
+// Values from the environment that replace those of the file; an empty string replaces nothing.
 struct Overrides {
   std::string listen;
   std::string discovery;
   std::string management;
 };
 
+// Parses the text of a configuration file. Throws ConfigError if it is invalid.
 Config ParseConfig(const std::string& text, const Overrides& overrides = {});
 
+// Looks up an environment variable by name; null if it is not set.
 using Environment = std::function<const char*(const char*)>;
 
-// Reads EDGE_CONFIG and what it names. Throws ConfigError, with one plain line, if anything is amiss.
+// Reads the configuration at the start: the file that EDGE_CONFIG names and the other EDGE_* variables.
+// Throws ConfigError if any of them is invalid.
 Config LoadConfig(const Environment& environment);
 
-// The same for a file that has been replaced since: its own discovery holds, not EDGE_DISCOVERY.
+// Reads the file again after it was replaced. The file's discovery address applies this time: EDGE_DISCOVERY
+// is ignored, since it still holds the address given at the start.
 Config ReloadConfig(const Environment& environment);
 
 }  // namespace merlinrun::net
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -13,15 +13,17 @@
 namespace merlinrun::net {
 namespace {
 
-constexpr std::size_t kMostCall = std::size_t{4} * 1024;
-// How long accepting rests when descriptors have run out: guards against a loop that spins on EMFILE.
-constexpr auto kAcceptPause = std::chrono::milliseconds(50);
+constexpr std::size_t kMaxHeaderSize = std::size_t{4} * 1024;
+// The pause after a failed accept(). Without it the accept loop would spin while the process is out of
+// descriptors (EMFILE).
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
 
 constexpr std::string_view kReadinessPath = "/ops/readiness";
 constexpr std::string_view kStatsPath = "/ops/stats";
 constexpr std::string_view kDownPath = "/ops/servers/down/";
 constexpr std::string_view kUpPath = "/ops/servers/up/";
 
+// The value of a hexadecimal digit; -1 if it is none.
 int HexDigit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -29,11 +31,11 @@
   return -1;
 }
 
-Management::Reply Say(http::status status, const char* text) { return {status, text}; }
+Management::Reply TextReply(http::status status, const char* text) { return {status, text}; }
 
 }  // namespace
 
-std::optional<std::string> PercentDecoded(std::string_view text) {
+std::optional<std::string> PercentDecode(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] != '%') {
@@ -50,31 +52,34 @@
   return out;
 }
 
+// One connection: reads a request, writes the answer and waits for the caller to close.
 class Management::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(Management& owner, Tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {
-    parser_.header_limit(kMostCall);
+    parser_.header_limit(kMaxHeaderSize);
   }
 
   void Start() {
-    Limit(owner_->limits_.head);
+    SetTimeout(owner_->limits_.request_timeout);
     http::async_read_header(
         socket_, buffer_, parser_,
-        [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnCall(error); });
+        [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnRequest(error); });
   }
 
-  // Closes without a word to the owner: it has let go of this one. Its timer finds that when it runs out.
-  void Abandon() {
+  // Closes the connection without telling the owner, which has removed this session or is being destroyed.
+  // The pending timer keeps the session alive until it expires and then does nothing.
+  void Detach() {
     owner_ = nullptr;
     ErrorCode ignored;
     socket_.close(ignored);
   }
 
-  std::list<SessionPtr>::iterator place;
+  std::list<SessionPtr>::iterator position;  // in the owner's list
 
  private:
-  void Limit(Micros time) {
+  // Closes the connection after this time; replaces an earlier timeout.
+  void SetTimeout(Micros time) {
     timer_.expires_after(std::chrono::microseconds(time));
     timer_.async_wait([self = shared_from_this()](ErrorCode stopped) {
       if (!stopped) self->Close();
@@ -83,60 +88,62 @@
 
   void Close() {
     if (owner_ == nullptr) return;
-    owner_->sessions_.erase(place);
-    Abandon();
+    owner_->sessions_.erase(position);
+    Detach();
   }
 
-  void OnCall(ErrorCode error) {
+  void OnRequest(ErrorCode error) {
     if (owner_ == nullptr) return;
     if (error == http::error::header_limit || error == http::error::buffer_overflow)
-      return Write(Say(http::status::request_header_fields_too_large, "the call is too long\n"));
+      return SendReply(TextReply(http::status::request_header_fields_too_large, "the call is too long\n"));
     if (error == http::error::end_of_stream) return Close();
     const bool parsed = !error;
     if (!parsed && error.category() != make_error_code(http::error::bad_target).category()) return Close();
-    const auto& call = parser_.get();
-    if (!parsed || !HasClearFraming(call)) return Write(Say(http::status::bad_request, "malformed call\n"));
-    head_only_ = call.method() == http::verb::head;
-    Write(owner_->Answer(call.method(), View(call.target())));
+    const auto& request = parser_.get();
+    if (!parsed || !HasClearFraming(request))
+      return SendReply(TextReply(http::status::bad_request, "malformed call\n"));
+    head_only_ = request.method() == http::verb::head;
+    SendReply(owner_->Dispatch(request.method(), View(request.target())));
   }
 
-  void Write(const Reply& reply) {
-    text_ = "HTTP/1.1 " + std::to_string(static_cast<unsigned>(reply.status)) + " " +
-            std::string(http::obsolete_reason(reply.status)) + "\r\nContent-Type: " + reply.type +
-            "\r\nContent-Length: " + std::to_string(reply.body.size()) +
-            "\r\nCache-Control: no-store\r\nConnection: close\r\n" +
-            (reply.allow == nullptr ? "" : std::string("Allow: ") + reply.allow + "\r\n") + "\r\n";
-    if (!head_only_) text_ += reply.body;
-    Limit(owner_->limits_.linger);
-    asio::async_write(socket_, asio::buffer(text_),
+  void SendReply(const Reply& reply) {
+    response_ = "HTTP/1.1 " + std::to_string(static_cast<unsigned>(reply.status)) + " " +
+                std::string(http::obsolete_reason(reply.status)) + "\r\nContent-Type: " + reply.content_type +
+                "\r\nContent-Length: " + std::to_string(reply.body.size()) +
+                "\r\nCache-Control: no-store\r\nConnection: close\r\n" +
+                (reply.allow == nullptr ? "" : std::string("Allow: ") + reply.allow + "\r\n") + "\r\n";
+    if (!head_only_) response_ += reply.body;
+    SetTimeout(owner_->limits_.linger_timeout);
+    asio::async_write(socket_, asio::buffer(response_),
                       [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnWritten(error); });
   }
 
-  // Closing with input unread would reset the connection and might lose the answer.
+  // Shuts down the sending side and discards further input until the caller closes: to close a socket with
+  // unread input resets the connection, and the caller could lose the answer.
   void OnWritten(ErrorCode error) {
     if (owner_ == nullptr) return;
     if (error) return Close();
     socket_.shutdown(Tcp::socket::shutdown_send, error);
     if (error) return Close();
-    Discard();
+    DiscardInput();
   }
 
-  void Discard() {
+  void DiscardInput() {
     buffer_.clear();
-    socket_.async_read_some(buffer_.prepare(kMostCall),
+    socket_.async_read_some(buffer_.prepare(kMaxHeaderSize),
                             [self = shared_from_this()](ErrorCode error, std::size_t) {
                               if (self->owner_ == nullptr) return;
                               if (error) return self->Close();
-                              self->Discard();
+                              self->DiscardInput();
                             });
   }
 
-  Management* owner_;  // null once it is over
+  Management* owner_;  // null once the session is closed
   Tcp::socket socket_;
   asio::steady_timer timer_;
-  beast::flat_buffer buffer_{2 * kMostCall};
+  beast::flat_buffer buffer_{2 * kMaxHeaderSize};
   http::request_parser<http::empty_body> parser_;
-  std::string text_;
+  std::string response_;
   bool head_only_ = false;
 };
 
@@ -146,12 +153,12 @@
       calls_(std::move(calls)),
       acceptor_(io, address, /*reuse_addr=*/true),
       address_(acceptor_.local_endpoint()),
-      pause_(io) {
+      accept_retry_timer_(io) {
   Accept();
 }
 
 Management::~Management() {
-  for (const SessionPtr& session : sessions_) session->Abandon();
+  for (const SessionPtr& session : sessions_) session->Detach();
 }
 
 void Management::Accept() {
@@ -162,47 +169,48 @@
 void Management::OnAccepted(ErrorCode error, Tcp::socket socket) {
   if (error == asio::error::operation_aborted) return;
   if (error) {
-    pause_.expires_after(kAcceptPause);
-    pause_.async_wait([this](ErrorCode stopped) {
+    accept_retry_timer_.expires_after(kAcceptRetryDelay);
+    accept_retry_timer_.async_wait([this](ErrorCode stopped) {
       if (!stopped) Accept();
     });
     return;
   }
-  if (sessions_.size() >= kMostSessions) {
-    sessions_.front()->Abandon();
+  if (sessions_.size() >= kMaxSessions) {
+    sessions_.front()->Detach();
     sessions_.pop_front();
   }
   const auto session = std::make_shared<Session>(*this, std::move(socket));
-  session->place = sessions_.insert(sessions_.end(), session);
+  session->position = sessions_.insert(sessions_.end(), session);
   session->Start();
   Accept();
 }
 
-Management::Reply Management::Answer(http::verb method, std::string_view target) const {
+Management::Reply Management::Dispatch(http::verb method, std::string_view target) const {
   const std::string_view path = target.substr(0, target.find('?'));
-  const auto takes = [&](http::verb wanted, const char* name) -> std::optional<Reply> {
-    if (method == wanted) return std::nullopt;
-    Reply reply = Say(http::status::method_not_allowed, "another method\n");
+  // The answer to a request with another method than `allowed`; nullopt if the method is right.
+  const auto reject_other_method = [&](http::verb allowed, const char* name) -> std::optional<Reply> {
+    if (method == allowed) return std::nullopt;
+    Reply reply = TextReply(http::status::method_not_allowed, "another method\n");
     reply.allow = name;
     return reply;
   };
   if (path == kReadinessPath) {
-    if (const auto wrong = takes(http::verb::get, "GET")) return *wrong;
-    return calls_.ready() ? Say(http::status::ok, "ready\n")
-                          : Say(http::status::service_unavailable, "not ready\n");
+    if (const auto rejection = reject_other_method(http::verb::get, "GET")) return *rejection;
+    return calls_.ready() ? TextReply(http::status::ok, "ready\n")
+                          : TextReply(http::status::service_unavailable, "not ready\n");
   }
   if (path == kStatsPath) {
-    if (const auto wrong = takes(http::verb::get, "GET")) return *wrong;
+    if (const auto rejection = reject_other_method(http::verb::get, "GET")) return *rejection;
     return {http::status::ok, calls_.stats(), "application/json"};
   }
   for (const std::string_view prefix : {kDownPath, kUpPath}) {
     if (path.substr(0, prefix.size()) != prefix) continue;
-    if (const auto wrong = takes(http::verb::post, "POST")) return *wrong;
-    const auto server = PercentDecoded(path.substr(prefix.size()));
-    if (!server || server->empty()) return Say(http::status::bad_request, "no server named\n");
+    if (const auto rejection = reject_other_method(http::verb::post, "POST")) return *rejection;
+    const auto server = PercentDecode(path.substr(prefix.size()));
+    if (!server || server->empty()) return TextReply(http::status::bad_request, "no server named\n");
     return calls_.ban(*server, prefix == kDownPath);
   }
-  return Say(http::status::not_found, "unknown call\n");
+  return TextReply(http::status::not_found, "unknown call\n");
 }
 
 }  // namespace merlinrun::net
--- a/src/net/management.hpp
+++ b/src/net/management.hpp
@@ -1,5 +1,6 @@
-// The operators' door: an address of its own, one call to a connection. It knows HTTP and paths; what the
-// calls mean and the figures are the sidecar's.
+// The management endpoint: a small HTTP server on an address of its own, where operators ask for readiness
+// and statistics and take servers out of use. It parses requests and routes paths; the sidecar provides the
+// answers.
 #ifndef MERLINRUN_NET_MANAGEMENT_HPP_
 #define MERLINRUN_NET_MANAGEMENT_HPP_
 
@@ -16,29 +17,33 @@
 
 namespace merlinrun::net {
 
+// Answers one request per connection and then closes the connection.
 class Management {
  public:
-  // Connections held at once. Another one takes the place of the oldest: a call that is sent whole is
-  // answered as soon as it is read, so whoever holds a place is late with the call.
-  static constexpr std::size_t kMostSessions = 8;
+  // The maximum number of open connections. One more closes the oldest: a complete request is answered as
+  // soon as it is read, so the callers of the open connections are slow to send theirs or to close.
+  static constexpr std::size_t kMaxSessions = 8;
 
   struct Reply {
     http::status status = http::status::ok;
     std::string body;
-    const char* type = "text/plain";
-    const char* allow = nullptr;  // the method that the path takes, where it is another one
+    const char* content_type = "text/plain";
+    const char* allow = nullptr;  // value of the Allow header of a 405 answer; null = no such header
   };
+  // The sidecar's part of the answers.
   struct Calls {
     std::function<bool()> ready;
-    std::function<std::string()> stats;  // JSON
+    std::function<std::string()> stats;  // as JSON text
+    // Takes a server out of use (`out`) or puts it back.
     std::function<Reply(const std::string& server, bool out)> ban;
   };
+  // In microseconds.
   struct Limits {
-    Micros head = 2'500'000;  // from the connection to the end of the call
-    Micros linger = 500'000;  // for the caller to read its answer and close
+    Micros request_timeout = 2'500'000;  // from the connection's start until the request has been read
+    Micros linger_timeout = 500'000;     // for the caller to read its answer and close
   };
 
-  // Throws boost::system::system_error if the address cannot be listened on.
+  // Starts to listen. Throws boost::system::system_error if the address cannot be listened on.
   Management(asio::io_context& io, const Tcp::endpoint& address, Limits limits, Calls calls);
   ~Management();
   Management(const Management&) = delete;
@@ -52,19 +57,19 @@
 
   void Accept();
   void OnAccepted(ErrorCode error, Tcp::socket socket);
-  Reply Answer(http::verb method, std::string_view target) const;
+  Reply Dispatch(http::verb method, std::string_view target) const;
 
   asio::io_context& io_;
   const Limits limits_;
   const Calls calls_;
   Tcp::acceptor acceptor_;
   Tcp::endpoint address_;
-  asio::steady_timer pause_;
+  asio::steady_timer accept_retry_timer_;
   std::list<SessionPtr> sessions_;  // the oldest first
 };
 
-// Undoes percent-encoding; empty if it is malformed.
-std::optional<std::string> PercentDecoded(std::string_view text);
+// Decodes percent-encoding; nullopt if it is malformed.
+std::optional<std::string> PercentDecode(std::string_view text);
 
 }  // namespace merlinrun::net
 
--- a/src/net/shared_dir.hpp
+++ b/src/net/shared_dir.hpp
@@ -1,5 +1,6 @@
-// What the processes of one sidecar share: a folder that outlives each of them. While a new version takes
-// over, two run side by side, and each sees here that the other lives and which servers are out by hand.
+// A folder that the processes of one sidecar share and that outlives each of them. During an upgrade the old
+// and the new process run side by side; here each sees that the other is alive and which servers operators
+// have taken out of use (administratively down), and the old one leaves the state that it has learned.
 #ifndef MERLINRUN_NET_SHARED_DIR_HPP_
 #define MERLINRUN_NET_SHARED_DIR_HPP_
 
@@ -8,46 +9,52 @@
 
 namespace merlinrun::net {
 
-// For the log: text of others on one line, and not too much of it.
+// Makes text from outside safe to log: at most 100 bytes, and a `?` for each that is not printable ASCII.
 std::string Printable(const std::string& text);
 
+// Access to the folder. It holds one file per live process (`alive.*`, locked), one per server that is
+// administratively down (`out.*`), the learned state (`learnt`), and files that are still being written
+// (`new.*`).
 class SharedDir {
  public:
-  // An empty path is no folder: nothing is shared then.
+  // With an empty path nothing is shared: nothing is read, and writing fails.
   explicit SharedDir(std::string path);
   ~SharedDir();
   SharedDir(const SharedDir&) = delete;
   SharedDir& operator=(const SharedDir&) = delete;
 
-  // Shows that this process lives, by a lock that ends with it however it ends.
+  // Announces this process to the other one: creates a file and holds a lock on it, which the kernel releases
+  // however the process ends.
   void ShowPresence();
 
-  // Records that a server is out by hand, or that it no longer is. False if that cannot be done; nothing is
-  // changed then.
+  // Records that a server is administratively down, or that it no longer is. On failure returns false and
+  // changes nothing.
   bool Keep(const std::string& server);
   bool Drop(const std::string& server);
 
-  // What one process leaves for the next, whole or not at all; empty if there is nothing.
+  // Writes the handover file, atomically; false if that fails.
   bool Leave(const std::string& text);
+  // The content of the handover file; empty if there is none.
   std::string Left() const;
 
+  // What the folder holds.
   struct View {
-    bool readable = false;
-    bool others = false;        // another process of this sidecar lives
-    std::set<std::string> out;  // servers
+    bool readable = false;      // false: the folder cannot be read, and the rest is empty
+    bool others = false;        // another process of this sidecar is alive
+    std::set<std::string> out;  // servers that are administratively down
   };
-  // What is here and cannot be understood is told once and left alone.
+  // Reads the folder. A file that is not understood is logged once and otherwise ignored.
   View Look();
 
  private:
-  bool WriteWhole(const std::string& name, const std::string& text);
-  bool OtherLives(const std::string& name) const;
-  void Tell(const std::string& name);
+  bool WriteAtomically(const std::string& name, const std::string& text);
+  bool ProbePresence(const std::string& name) const;
+  void ReportUnrecognized(const std::string& name);
 
   const std::string path_;
-  std::string own_name_;
-  std::set<std::string> told_;
-  int own_ = -1;
+  std::string presence_name_;
+  std::set<std::string> reported_;
+  int presence_fd_ = -1;  // locked while this process is announced
 };
 
 }  // namespace merlinrun::net
--- a/src/net/validate.hpp
+++ b/src/net/validate.hpp
@@ -1,4 +1,4 @@
-// The strictness that the HTTP library lacks: what is wrong with a header that it has parsed.
+// Checks of parsed HTTP headers that are stricter than the HTTP library's own.
 #ifndef MERLINRUN_NET_VALIDATE_HPP_
 #define MERLINRUN_NET_VALIDATE_HPP_
 
@@ -15,34 +15,39 @@
 using RequestHeader = http::request_header<>;
 using ResponseHeader = http::response_header<>;
 
-// Why a message is turned away.
+// Why a request is rejected, and with what answer.
 struct Fault {
   http::status status;
-  const char* text;
-  const char* allow = nullptr;  // the method that would do
+  const char* text;             // the answer's body
+  const char* allow = nullptr;  // value of the Allow header of a 405 answer
 };
 
-// A request's framing and the form of its fields, whatever it asks for.
+// Checks a request's framing and the syntax of its header fields, independently of its class. Returns nullopt
+// if it is valid.
 std::optional<Fault> CheckRequest(const RequestHeader& header);
 
-// False if a message's length could be read in two ways.
+// Whether a request has one length or transfer encoding that every HTTP implementation reads the same way.
 bool HasClearFraming(const RequestHeader& header);
 
+// Whether the client waits for `100 Continue` before it sends the body.
 bool ExpectsContinue(const RequestHeader& header);
 
-// That a request is what its class says: method and key follow from whether it may be repeated.
+// Checks that the method and the Idempotency-Key of a request fit its class, which says whether the request
+// may be repeated. Returns nullopt if they do.
 std::optional<Fault> CheckAgainstClass(const RequestHeader& header, Repeat repeat);
 
-// True if an answer's framing is beyond doubt and its length within what a body may have.
+// Whether a server's answer has unambiguous framing and no Content-Length above the limit for bodies.
 bool AcceptAnswer(const ResponseHeader& header);
 
-// A plain decimal number such as 0.480: no sign, no exponent, nothing around it.
+// Parses a plain decimal number such as 0.480, without sign, exponent or surrounding characters.
 std::optional<double> ParseDecimal(std::string_view text);
 
-// A report of load such as "TEXT pending=2, cpu_share=0.61", with the names that the settings use. What
-// cannot be read is left absent: a report is advice.
+// Parses the load report of an answer, such as "TEXT pending=2, cpu_share=0.61", whose names are those of the
+// settings. Fields that cannot be parsed stay empty: the report is only a hint, so an error is not worth
+// reporting.
 LoadReport ReadLoad(std::string_view text);
 
+// Converts the HTTP library's string view to the standard one.
 inline std::string_view View(beast::string_view text) { return {text.data(), text.size()}; }
 
 }  // namespace merlinrun::net
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -1,4 +1,4 @@
-// Configuration: names shared with the adapter's parser, and what is wrong said plainly.
+// The configuration: how the file and the environment are read, and one-line errors for invalid input.
 #include "net/config.hpp"
 
 #include <unistd.h>
@@ -14,7 +14,7 @@
 using namespace testing;  // NOLINT(google-build-using-namespace)
 using Json = nlohmann::json;
 
-TEST(Config, FlattensSettingsIntoTheAdaptersPairs) {
+TEST(Config, FlattenWritesThePairsThatTheAdapterReads) {
   const Json settings = {{"allowed", {{"cancel", true}, {"open_cap", 250000.0}}},
                          {"azs", {"a b", "c,d"}},
                          {"costs", {{"waste", 0.04}}},
@@ -26,10 +26,10 @@
             "grades.0.name=x grades.1.name=y tenants=");
 }
 
-TEST(Config, ReadsAllThatASidecarIsTold) {
+TEST(Config, ReadsEveryPartOfTheConfiguration) {
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 81);
   const Config config = ParseConfig(ConfigJson(at, {Entry("s1", at)}).dump(), {"127.0.0.2:80", "", ""});
-  EXPECT_EQ(Text(config.listen), "127.0.0.2:80");  // the environment's
+  EXPECT_EQ(Text(config.listen), "127.0.0.2:80");  // from the environment
   EXPECT_EQ(Text(config.discovery), "127.0.0.1:81");
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
   EXPECT_EQ(config.sockets, 1024U);
@@ -43,7 +43,7 @@
   EXPECT_EQ(config.known.endpoints[0].address, at);
 }
 
-TEST(Config, TheDoorsAddressIsTheEnvironmentsOrTheFiles) {
+TEST(Config, EnvironmentOverridesTheManagementAddressOfTheFile) {
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 81);
   Json json = ConfigJson(at, {});
   EXPECT_EQ(Text(ParseConfig(json.dump(), {"", "", "127.0.0.3:82"}).management.value()), "127.0.0.3:82");
@@ -52,7 +52,7 @@
   EXPECT_EQ(Text(ParseConfig(json.dump(), {"", "", "127.0.0.3:82"}).management.value()), "127.0.0.3:82");
 }
 
-TEST(Config, TakesAnInheritedListenerAndNothingElseForOne) {
+TEST(Config, AcceptsAnInheritedListeningSocketAndRejectsAnyOtherDescriptor) {
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 81);
   char path[] = "/tmp/fennelhollow-config-XXXXXX";
   ::close(::mkstemp(path));
@@ -73,7 +73,7 @@
         std::to_string(other.native_handle())}) {
     try {
       load(wrong);
-      ADD_FAILURE() << "taken: " << wrong;
+      ADD_FAILURE() << "accepted: " << wrong;
     } catch (const ConfigError& error) {
       EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos);
     }
@@ -81,27 +81,27 @@
   std::remove(path);
 }
 
-TEST(Config, SaysWhatIsWrongInOneLine) {
+TEST(Config, InvalidConfigurationIsReportedInOneLine) {
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 81);
   std::vector<std::string> texts = {"", "{", "[]", "{}"};
-  const auto spoil = [&](const char* path, const Json& value) {
+  const auto add_variant = [&](const char* path, const Json& value) {
     Json json = ConfigJson(at, {Entry("s1", at)});
     json[Json::json_pointer(path)] = value;
     texts.push_back(json.dump());
   };
-  spoil("/listen", "nowhere");
-  spoil("/discovery", 7);
-  spoil("/seed", "xyz");
-  spoil("/mgmt", "nowhere");
-  spoil("/mgmt", 7);
-  spoil("/limits/sockets", 3);
-  spoil("/settings/grades/0/repeat", "sometimes");
-  spoil("/settings/quantum_us", "soon");
-  spoil("/known/instances/0/lifecycle", "unsure");
+  add_variant("/listen", "nowhere");
+  add_variant("/discovery", 7);
+  add_variant("/seed", "xyz");
+  add_variant("/mgmt", "nowhere");
+  add_variant("/mgmt", 7);
+  add_variant("/limits/sockets", 3);
+  add_variant("/settings/grades/0/repeat", "sometimes");
+  add_variant("/settings/quantum_us", "soon");
+  add_variant("/known/instances/0/lifecycle", "unsure");
   for (const std::string& text : texts) {
     try {
       ParseConfig(text);
-      ADD_FAILURE() << "taken: " << text;
+      ADD_FAILURE() << "accepted: " << text;
     } catch (const ConfigError& error) {
       EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos);
     }
--- a/tests/net/management_test.cpp
+++ b/tests/net/management_test.cpp
@@ -1,4 +1,4 @@
-// The operators' door: what it answers, whatever is sent to it, and that it stays a door.
+// The management endpoint: its answers to valid and invalid requests, and that slow callers don't block it.
 #include "net/management.hpp"
 
 #include "loopback.hpp"
@@ -15,13 +15,13 @@
     calls.ready = [this] { return ready; };
     calls.stats = [] { return std::string("{}\n"); };
     calls.ban = [this](const std::string& server, bool out) {
-      banned.emplace_back(server, out);
+      admin_changes.emplace_back(server, out);
       return Management::Reply{http::status::ok, "yes\n"};
     };
-    door = std::make_unique<Management>(io, Loopback(), limits, std::move(calls));
+    endpoint = std::make_unique<Management>(io, Loopback(), limits, std::move(calls));
   }
   std::shared_ptr<Peer> Caller(const std::string& text = "") {
-    auto caller = Connect(io, door->address());
+    auto caller = Connect(io, endpoint->address());
     if (!text.empty()) caller->Write(text);
     return caller;
   }
@@ -35,11 +35,11 @@
   asio::io_context io;
   Management::Limits limits;
   bool ready = true;
-  std::vector<std::pair<std::string, bool>> banned;
-  std::unique_ptr<Management> door;
+  std::vector<std::pair<std::string, bool>> admin_changes;
+  std::unique_ptr<Management> endpoint;
 };
 
-TEST_F(ManagementTest, AnswersAndClosesTheConnection) {
+TEST_F(ManagementTest, AnswersAndThenClosesTheConnection) {
   Start();
   EXPECT_EQ(Call("GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"), "200");
   ready = false;
@@ -51,7 +51,7 @@
   EXPECT_EQ(caller->received.substr(caller->received.find("\r\n\r\n") + 4), "{}\n");
 }
 
-TEST_F(ManagementTest, TurnsAwayWhatItDoesNotKnow) {
+TEST_F(ManagementTest, RejectsUnknownPathsWrongMethodsAndMalformedRequests) {
   Start();
   EXPECT_EQ(Call("GET /ops/nothing HTTP/1.1\r\n\r\n"), "404");
   EXPECT_EQ(Call("GET /api HTTP/1.1\r\nReq-Id: r1\r\n\r\n"), "404");
@@ -62,23 +62,24 @@
   EXPECT_EQ(Call("GET /ops/stats HTTP/1.1\r\nX: " + std::string(20'000, 'x') + "\r\n\r\n"), "431");
 }
 
-TEST_F(ManagementTest, ServersAreNamedInThePathPercentEncodedOrNot) {
+TEST_F(ManagementTest, DecodesPercentEncodedServerIdsInThePath) {
   Start();
   const auto post = [&](const std::string& path) {
     return Call("POST " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
   };
   EXPECT_EQ(post("/ops/servers/down/s-1"), "200");
   EXPECT_EQ(post("/ops/servers/up/a%2Fb%20%0A%c3%A9"), "200");
-  EXPECT_EQ(banned, (std::vector<std::pair<std::string, bool>>{{"s-1", true}, {"a/b \n\xc3\xa9", false}}));
+  EXPECT_EQ(admin_changes,
+            (std::vector<std::pair<std::string, bool>>{{"s-1", true}, {"a/b \n\xc3\xa9", false}}));
   EXPECT_EQ(post("/ops/servers/down/"), "400");
   EXPECT_EQ(post("/ops/servers/down/a%2"), "400");
   EXPECT_EQ(post("/ops/servers/down/a%zz"), "400");
   EXPECT_EQ(post("/ops/servers/aside/s-1"), "404");
   EXPECT_EQ(Call("GET /ops/servers/down/s-1 HTTP/1.1\r\n\r\n"), "405");
-  EXPECT_EQ(banned.size(), 2U);
+  EXPECT_EQ(admin_changes.size(), 2U);
 }
 
-TEST_F(ManagementTest, AHeadRequestGetsNoBody) {
+TEST_F(ManagementTest, AnswersAHeadRequestWithoutABody) {
   Start();
   auto caller = Caller("HEAD /ops/stats HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(RunUntil(io, [&] { return caller->ended; }));
@@ -86,16 +87,16 @@
   EXPECT_EQ(caller->received.find("\r\n\r\n"), caller->received.size() - 4);
 }
 
-TEST_F(ManagementTest, CallersThatFinishNoCallKeepNobodyOut) {
-  limits.head = 60'000'000;
+TEST_F(ManagementTest, IncompleteRequestsDoNotBlockOtherCallers) {
+  limits.request_timeout = 60'000'000;
   Start();
   std::vector<std::shared_ptr<Peer>> idle;
   for (int i = 0; i < 30; ++i) idle.push_back(Caller(i % 2 == 0 ? "" : "GET /ops/st"));
   for (int i = 0; i < 5; ++i) EXPECT_EQ(Call("GET /ops/readiness HTTP/1.1\r\n\r\n"), "200");
 }
 
-TEST_F(ManagementTest, ASilentCallerIsClosedInTime) {
-  limits.head = 100'000;
+TEST_F(ManagementTest, ClosesAConnectionWhoseRequestTimesOut) {
+  limits.request_timeout = 100'000;
   Start();
   EXPECT_EQ(Call(""), "");
   EXPECT_EQ(Call("GET /ops/st"), "");
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -1,4 +1,4 @@
-// The program itself: what only a process of its own can show.
+// The program itself: behaviour that shows only in a separate process, such as signals and inherited sockets.
 #include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -17,7 +17,7 @@
 
 class ProgramTest : public ::testing::Test {
  protected:
-  ProgramTest() : discovery_(io, TellsOf(List(7, true, {}))) {
+  ProgramTest() : discovery_(io, ServesList(List(7, true, {}))) {
     Tcp::acceptor free_port(io, Loopback());
     listen = free_port.local_endpoint();
     char name[] = "/tmp/fennelhollow-test-XXXXXX";
@@ -35,7 +35,7 @@
     if (!folder.empty()) std::filesystem::remove_all(folder);
   }
 
-  static std::function<void(Peer&)> TellsOf(const nlohmann::json& list) {
+  static std::function<void(Peer&)> ServesList(const nlohmann::json& list) {
     return [list](Peer& peer) {
       if (peer.received.find("stream=1") == std::string::npos)
         peer.Write(Reply("200 OK", list.dump()));
@@ -53,7 +53,8 @@
     ASSERT_NO_FATAL_FAILURE(Spawn({}, -1));
     ASSERT_TRUE(RunUntil(io, [&] { return !Ask("GET /ready HTTP/1.1\r\n\r\n").empty(); }));
   }
-  // The program with these variables besides, and the listener as descriptor 7 unless it is -1.
+  // Starts the program with these variables and those of the configuration. A `listener` other than -1
+  // becomes its descriptor 7.
   void Spawn(std::vector<std::string> variables, int listener) {
     variables.push_back("EDGE_CONFIG=" + path);
     variables.push_back("EDGE_DISCOVERY=" + testing::Text(discovery_.address));
@@ -85,7 +86,7 @@
     RunUntil(io, [&] { return client->requests() > 0 || client->ended; });
     return client->requests() > 0 ? client->received.substr(9, 3) : "";
   }
-  bool Runs() { return ::waitpid(pid, nullptr, WNOHANG) == 0; }
+  bool IsRunning() { return ::waitpid(pid, nullptr, WNOHANG) == 0; }
 
   asio::io_context io;
   ScriptedServer discovery_;
@@ -93,11 +94,12 @@
   std::string path;
   std::string folder;
   pid_t pid = 0;
-  pid_t older = 0;  // the process that the other one takes over from
+  pid_t older = 0;  // the process that `pid` takes over from
 };
 
-// A new process takes over under load: nobody is turned away, and the old one ends by itself.
-TEST_F(ProgramTest, ANewProcessTakesOverTheListenerAndLosesNoRequest) {
+// A new process takes over the listening socket under load: every request succeeds, and the old process ends
+// by itself after SIGTERM.
+TEST_F(ProgramTest, NoRequestFailsWhileANewProcessTakesOverTheListener) {
   ScriptedServer server(io, Serves("ok"));
   Tcp::acceptor listener(io, listen);
   Configure(Text(discovery_.address, {Entry("s1", server.address)}));
@@ -120,15 +122,15 @@
   older = 0;
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   for (int i = 0; i < 20; ++i) ASSERT_EQ(ask(), "200") << asked;
-  EXPECT_TRUE(Runs());
+  EXPECT_TRUE(IsRunning());
 }
 
-// SIGHUP used to end the program. It follows the discovery that the file names now, though EDGE_DISCOVERY
-// still names the old one; a file that makes no sense changes nothing.
-TEST_F(ProgramTest, SighupMakesItFollowTheDiscoveryOfTheNewFile) {
+// SIGHUP used to end the program. Now it makes the program follow the discovery address of the file, although
+// EDGE_DISCOVERY still holds the old one; an invalid file changes nothing.
+TEST_F(ProgramTest, SighupSwitchesToTheDiscoveryAddressOfTheNewFile) {
   ScriptedServer server(io, Serves("ok"));
-  ScriptedServer other(io, TellsOf(List(2, true, {Entry("s1", server.address)})));
-  Configure(Text(other.address, {}));  // EDGE_DISCOVERY comes before the file at the start
+  ScriptedServer other(io, ServesList(List(2, true, {Entry("s1", server.address)})));
+  Configure(Text(other.address, {}));  // at the start EDGE_DISCOVERY overrides the file
   Start();
   ASSERT_TRUE(RunUntil(io, [&] { return discovery_.requests() >= 2; }));
   EXPECT_TRUE(other.peers.empty());
@@ -136,7 +138,7 @@
   ::kill(pid, SIGHUP);
   ::kill(pid, SIGHUP);
   RunFor(io, 50ms);
-  EXPECT_TRUE(Runs());
+  EXPECT_TRUE(IsRunning());
   EXPECT_FALSE(discovery_.peers.back()->ended);
   Configure(Text(other.address, {}));
   ::kill(pid, SIGHUP);
@@ -145,47 +147,47 @@
   EXPECT_TRUE(RunUntil(io, [&] { return discovery_.peers.back()->ended; }));
 }
 
-// SIGTERM with an attempt out, half of another request read, and a connection accepted that has said nothing;
-// then SIGHUP and SIGTERM again. Each gets one whole answer, what comes on a kept connection too, and the end
-// is in order.
-TEST_F(ProgramTest, SignalsDuringADrainChangeNothingAndWhatWasTakenIsAnswered) {
+// SIGTERM arrives with an attempt in flight, half of another request read, and a connection accepted that has
+// sent nothing; then SIGHUP and SIGTERM again. Each client gets one complete answer, also for a request that
+// arrives on a kept-alive connection, and the process ends with status 0.
+TEST_F(ProgramTest, SignalsDuringADrainChangeNothingAndAcceptedRequestsAreAnswered) {
   bool answers = false;
-  std::vector<Peer*> held;
+  std::vector<Peer*> unanswered;
   ScriptedServer server(io, [&](Peer& peer) {
     if (answers) return Serves("late")(peer);
-    held.push_back(&peer);
+    unanswered.push_back(&peer);
   });
   Configure(Text(discovery_.address, {Entry("s1", server.address)}));
   Start();
   const auto get = [](const std::string& id) {
     return "GET /api HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Kind: look\r\n\r\n";
   };
-  const auto out = Connect(io, listen);
-  out->Write(get("out"));
-  const auto kept = Connect(io, listen);
-  kept->Write("GET /ready HTTP/1.1\r\n\r\n");
+  const auto in_flight = Connect(io, listen);
+  in_flight->Write(get("in-flight"));
+  const auto kept_alive = Connect(io, listen);
+  kept_alive->Write("GET /ready HTTP/1.1\r\n\r\n");
   const auto half = Connect(io, listen);
   half->Write(get("half").substr(0, 30));
   const auto silent = Connect(io, listen);
-  ASSERT_TRUE(RunUntil(io, [&] { return held.size() == 1 && kept->requests() == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return unanswered.size() == 1 && kept_alive->requests() == 1; }));
   ::kill(pid, SIGTERM);
   ::kill(pid, SIGHUP);
   ::kill(pid, SIGTERM);
   half->Write(get("half").substr(30));
-  kept->Write(get("kept"));
+  kept_alive->Write(get("kept-alive"));
   silent->Write(get("silent"));
-  ASSERT_TRUE(RunUntil(io, [&] { return held.size() == 4; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return unanswered.size() == 4; }));
   ::kill(pid, SIGTERM);
   answers = true;
-  for (Peer* peer : held) peer->Write(Reply("200 OK", "late"));
-  for (const auto& client : {out, half, silent}) {
+  for (Peer* peer : unanswered) peer->Write(Reply("200 OK", "late"));
+  for (const auto& client : {in_flight, half, silent}) {
     ASSERT_TRUE(RunUntil(io, [&] { return client->ended; }));
     EXPECT_EQ(client->requests(), 1);
     EXPECT_EQ(client->received.substr(9, 3), "200");
     EXPECT_EQ(client->received.substr(client->received.size() - 4), "late");
   }
-  ASSERT_TRUE(RunUntil(io, [&] { return kept->ended; }));
-  EXPECT_EQ(kept->requests(), 2);
+  ASSERT_TRUE(RunUntil(io, [&] { return kept_alive->ended; }));
+  EXPECT_EQ(kept_alive->requests(), 2);
   EXPECT_EQ(server.requests(), 4);
   int status = -1;
   ASSERT_TRUE(RunUntil(io, [&] { return ::waitpid(pid, &status, WNOHANG) == pid; }));
--- a/tests/net/shared_dir_test.cpp
+++ b/tests/net/shared_dir_test.cpp
@@ -1,4 +1,5 @@
-// What two processes of one sidecar see of each other.
+// The shared folder: presence of the other process, records of servers that are administratively down, and
+// the handover file.
 #include "net/shared_dir.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +26,7 @@
   std::string path;
 };
 
-TEST_F(SharedDirTest, ShowsTheOtherProcessForAsLongAsItLives) {
+TEST_F(SharedDirTest, SeesTheOtherProcessWhileItIsAlive) {
   SharedDir own(path);
   own.ShowPresence();
   EXPECT_FALSE(own.Look().others);
@@ -37,7 +38,7 @@
   EXPECT_FALSE(own.Look().others);
 }
 
-TEST_F(SharedDirTest, WhatAKilledProcessLeftIsClearedAway) {
+TEST_F(SharedDirTest, DeletesThePresenceFileOfAKilledProcess) {
   std::ofstream(path + "/alive.abcdef") << "";
   SharedDir own(path);
   own.ShowPresence();
@@ -45,7 +46,7 @@
   EXPECT_FALSE(std::filesystem::exists(path + "/alive.abcdef"));
 }
 
-TEST_F(SharedDirTest, RecordsOutliveTheProcessAndMayBeRepeated) {
+TEST_F(SharedDirTest, RecordsOutliveTheProcessAndWritingIsIdempotent) {
   const std::set<std::string> servers = {"s-1", "../s", "a/b", "s.1", "%2e", "a b", "\n", "\xc3\xa9", "S-1"};
   {
     SharedDir own(path);
@@ -59,9 +60,9 @@
   EXPECT_EQ(next.Look().out.size(), servers.size() - 1);
 }
 
-TEST_F(SharedDirTest, WhatIsTornOrForeignIsToldOnceAndLeftAlone) {
-  std::ofstream(path + "/out.s1") << "s1";    // torn: its end is missing
-  std::ofstream(path + "/out.s2") << "s3\n";  // another server's
+TEST_F(SharedDirTest, LogsIncompleteAndUnknownFilesOnceAndKeepsThem) {
+  std::ofstream(path + "/out.s1") << "s1";    // incomplete: no line end
+  std::ofstream(path + "/out.s2") << "s3\n";  // the record of another server
   std::ofstream(path + "/out.s4") << "";
   std::ofstream(path + "/notes\ntxt") << "hello\n";
   std::filesystem::create_directory(path + "/out.s5");
@@ -69,12 +70,12 @@
   ::testing::internal::CaptureStderr();
   EXPECT_TRUE(own.Look().out.empty());
   EXPECT_TRUE(own.Look().out.empty());
-  const std::string told = ::testing::internal::GetCapturedStderr();
-  EXPECT_EQ(std::count(told.begin(), told.end(), '\n'), 5) << told;
+  const std::string logged = ::testing::internal::GetCapturedStderr();
+  EXPECT_EQ(std::count(logged.begin(), logged.end(), '\n'), 5) << logged;
   EXPECT_TRUE(std::filesystem::exists(path + "/notes\ntxt"));
 }
 
-TEST_F(SharedDirTest, LeavesWhatTheNextOneReads) {
+TEST_F(SharedDirTest, TheNextProcessReadsTheLastHandoverFile) {
   SharedDir own(path);
   EXPECT_EQ(own.Left(), "");
   EXPECT_TRUE(own.Leave("one\n"));
@@ -86,18 +87,18 @@
   EXPECT_EQ(next.Left(), "two\n");
 }
 
-TEST_F(SharedDirTest, WhatCannotBeRecordedIsSaid) {
+TEST_F(SharedDirTest, ReportsRecordsThatCannotBeWritten) {
   SharedDir none("");
   EXPECT_FALSE(none.Keep("s1") || none.Drop("s1"));
   SharedDir missing(path + "/missing");
   EXPECT_FALSE(missing.Keep("s1"));
   SharedDir own(path);
   EXPECT_FALSE(own.Keep(std::string(300, 'x')));
-  EXPECT_FALSE(own.Keep(std::string(150, '/')));  // its file's name would be too long
+  EXPECT_FALSE(own.Keep(std::string(150, '/')));  // the encoded file name would be too long
   EXPECT_TRUE(std::filesystem::is_empty(path));
 }
 
-TEST_F(SharedDirTest, NoFolderSharesNothing) {
+TEST_F(SharedDirTest, WithoutAFolderNothingIsShared) {
   for (const std::string& none : {std::string(), path + "/missing"}) {
     SharedDir own(none);
     own.ShowPresence();
--- a/tests/net/validate_test.cpp
+++ b/tests/net/validate_test.cpp
@@ -1,4 +1,5 @@
-// What is turned away for its form, whatever the library makes of it.
+// The checks of headers: malformed requests and answers are rejected, also where the HTTP library accepts
+// them.
 #include "net/validate.hpp"
 
 #include <gtest/gtest.h>
@@ -9,31 +10,31 @@
 namespace merlinrun::net {
 namespace {
 
-// The status with which a request with these lines is turned away; 0 if it is taken.
-int Turned(const std::string& start, const std::string& fields, bool with_id = true) {
+// The status with which a request with this start line and these fields is rejected; 0 if it is accepted.
+int RejectionStatus(const std::string& start, const std::string& fields, bool with_id = true) {
   http::request_parser<http::string_body> parser;
   parser.header_limit(64 * 1024);
   parser.body_limit(std::uint64_t{1} << 40);
   ErrorCode error;
   const std::string text = start + " HTTP/1.1\r\n" + (with_id ? "Req-Id: r1\r\n" : "") + fields + "\r\n";
   parser.put(asio::buffer(text), error);
-  if (error && error != http::error::need_more) return 400;  // the library itself will not have it
+  if (error && error != http::error::need_more) return 400;  // the library itself rejects it
   EXPECT_TRUE(parser.is_header_done()) << text;
   const auto fault = CheckRequest(parser.get());
   return fault ? static_cast<int>(fault->status) : 0;
 }
 
-TEST(CheckRequest, TakesWhatTheProtocolDescribes) {
-  EXPECT_EQ(Turned("GET /api?obj=7f", "Req-Kind: a\r\nReq-Deadline: 0.480\r\n"), 0);
-  EXPECT_EQ(Turned("GET /api", "Content-Length: 0\r\nReq-Deadline: 3\r\n"), 0);
-  EXPECT_EQ(
-      Turned("POST /api", "Content-Length: 65536\r\nIdempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n"),
-      0);
-  EXPECT_EQ(Turned("POST /api", "Transfer-Encoding: Chunked\r\n"), 0);
-  EXPECT_EQ(Turned("GET /ready", "", /*with_id=*/false), 0);
+TEST(CheckRequest, AcceptsRequestsThatFollowTheProtocol) {
+  EXPECT_EQ(RejectionStatus("GET /api?obj=7f", "Req-Kind: a\r\nReq-Deadline: 0.480\r\n"), 0);
+  EXPECT_EQ(RejectionStatus("GET /api", "Content-Length: 0\r\nReq-Deadline: 3\r\n"), 0);
+  EXPECT_EQ(RejectionStatus("POST /api",
+                            "Content-Length: 65536\r\nIdempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n"),
+            0);
+  EXPECT_EQ(RejectionStatus("POST /api", "Transfer-Encoding: Chunked\r\n"), 0);
+  EXPECT_EQ(RejectionStatus("GET /ready", "", /*with_id=*/false), 0);
 }
 
-TEST(CheckRequest, TurnsAwayWhatIsInDoubt) {
+TEST(CheckRequest, RejectsAmbiguousAndMalformedRequests) {
   const struct {
     int status;
     std::string start;
@@ -76,37 +77,39 @@
       {400, "GET /api", "Req-Deadline: \r\n"},
       {400, "GET /api", "Req-Deadline: 99999999\r\n"},
   };
-  for (const auto& c : cases) EXPECT_EQ(Turned(c.start, c.fields), c.status) << c.start << " " << c.fields;
+  for (const auto& c : cases)
+    EXPECT_EQ(RejectionStatus(c.start, c.fields), c.status) << c.start << " " << c.fields;
   for (const std::string& id : {std::string(), std::string("a b"), std::string("a,b"), std::string(65, 'x')})
-    EXPECT_EQ(Turned("GET /api", "Req-Id: " + id + "\r\n", /*with_id=*/false), 400) << id;
-  EXPECT_EQ(Turned("GET /api", "", /*with_id=*/false), 400);
-  EXPECT_EQ(Turned("HEAD /ready", "", /*with_id=*/false), 405);
+    EXPECT_EQ(RejectionStatus("GET /api", "Req-Id: " + id + "\r\n", /*with_id=*/false), 400) << id;
+  EXPECT_EQ(RejectionStatus("GET /api", "", /*with_id=*/false), 400);
+  EXPECT_EQ(RejectionStatus("HEAD /ready", "", /*with_id=*/false), 405);
   std::string many;
   for (int i = 0; i < 64; ++i) many += "X" + std::to_string(i) + ": y\r\n";
-  EXPECT_EQ(Turned("GET /api", many), 431);
+  EXPECT_EQ(RejectionStatus("GET /api", many), 431);
 }
 
-TEST(CheckAgainstClass, MethodAndKeyFollowFromTheClass) {
-  const auto turned = [](http::verb method, Repeat repeat, const char* key) {
+TEST(CheckAgainstClass, RequiresTheMethodAndTheKeyOfTheClass) {
+  const auto rejected = [](http::verb method, Repeat repeat, const char* key) {
     RequestHeader header;
     header.method(method);
     if (key != nullptr) header.set(kIdempotencyHeader, key);
     return CheckAgainstClass(header, repeat).has_value();
   };
-  EXPECT_FALSE(turned(http::verb::get, Repeat::kSafe, nullptr));
-  EXPECT_FALSE(turned(http::verb::post, Repeat::kDeduplicated, "k1"));
-  EXPECT_FALSE(turned(http::verb::post, Repeat::kNever, nullptr));
-  EXPECT_TRUE(turned(http::verb::post, Repeat::kSafe, nullptr));
-  EXPECT_TRUE(turned(http::verb::head, Repeat::kSafe, nullptr));
-  EXPECT_TRUE(turned(http::verb::get, Repeat::kSafe, "k1"));
-  EXPECT_TRUE(turned(http::verb::get, Repeat::kNever, nullptr));
-  EXPECT_TRUE(turned(http::verb::post, Repeat::kDeduplicated, nullptr));
-  EXPECT_TRUE(turned(http::verb::post, Repeat::kDeduplicated, ""));
-  EXPECT_TRUE(turned(http::verb::post, Repeat::kNever, "k1"));
+  EXPECT_FALSE(rejected(http::verb::get, Repeat::kSafe, nullptr));
+  EXPECT_FALSE(rejected(http::verb::post, Repeat::kDeduplicated, "k1"));
+  EXPECT_FALSE(rejected(http::verb::post, Repeat::kNever, nullptr));
+  EXPECT_TRUE(rejected(http::verb::post, Repeat::kSafe, nullptr));
+  EXPECT_TRUE(rejected(http::verb::head, Repeat::kSafe, nullptr));
+  EXPECT_TRUE(rejected(http::verb::get, Repeat::kSafe, "k1"));
+  EXPECT_TRUE(rejected(http::verb::get, Repeat::kNever, nullptr));
+  EXPECT_TRUE(rejected(http::verb::post, Repeat::kDeduplicated, nullptr));
+  EXPECT_TRUE(rejected(http::verb::post, Repeat::kDeduplicated, ""));
+  EXPECT_TRUE(rejected(http::verb::post, Repeat::kNever, "k1"));
 }
 
-TEST(AcceptAnswer, TakesOneLengthWithinTheLimitAndNothingElse) {
-  const auto takes = [](unsigned status, std::initializer_list<std::pair<http::field, const char*>> fields) {
+TEST(AcceptAnswer, AcceptsOnlyUnambiguousFramingWithinTheBodyLimit) {
+  const auto accepted = [](unsigned status,
+                           std::initializer_list<std::pair<http::field, const char*>> fields) {
     ResponseHeader header;
     header.version(11);
     header.result(status);
@@ -115,21 +118,21 @@
   };
   const auto length = http::field::content_length;
   const auto coding = http::field::transfer_encoding;
-  EXPECT_TRUE(takes(200, {{length, "65536"}}));
-  EXPECT_TRUE(takes(200, {{coding, "chunked"}}));
-  EXPECT_TRUE(takes(100, {}));
-  EXPECT_TRUE(takes(204, {}));
-  EXPECT_TRUE(takes(200, {}));  // ends with its connection
-  EXPECT_TRUE(takes(200, {{length, "33554432"}}));
-  EXPECT_FALSE(takes(200, {{length, "33554433"}}));
-  EXPECT_FALSE(takes(200, {{length, "3221225472"}}));
-  EXPECT_FALSE(takes(200, {{length, "-1"}}));
-  EXPECT_FALSE(takes(200, {{length, "4"}, {length, "4"}}));
-  EXPECT_FALSE(takes(200, {{length, "4"}, {coding, "chunked"}}));
-  EXPECT_FALSE(takes(200, {{coding, "gzip"}}));
+  EXPECT_TRUE(accepted(200, {{length, "65536"}}));
+  EXPECT_TRUE(accepted(200, {{coding, "chunked"}}));
+  EXPECT_TRUE(accepted(100, {}));
+  EXPECT_TRUE(accepted(204, {}));
+  EXPECT_TRUE(accepted(200, {}));  // the body ends when the connection closes
+  EXPECT_TRUE(accepted(200, {{length, "33554432"}}));
+  EXPECT_FALSE(accepted(200, {{length, "33554433"}}));
+  EXPECT_FALSE(accepted(200, {{length, "3221225472"}}));
+  EXPECT_FALSE(accepted(200, {{length, "-1"}}));
+  EXPECT_FALSE(accepted(200, {{length, "4"}, {length, "4"}}));
+  EXPECT_FALSE(accepted(200, {{length, "4"}, {coding, "chunked"}}));
+  EXPECT_FALSE(accepted(200, {{coding, "gzip"}}));
 }
 
-TEST(ReadLoad, LeavesAbsentWhatItCannotRead) {
+TEST(ReadLoad, LeavesFieldsEmptyThatItCannotParse) {
   const LoadReport load =
       ReadLoad("TEXT busy_reqs=7,pending=2,  novel=9, cpu_share=, svc_ms=-1, nothing, =4");
   EXPECT_EQ(load.busy, 7.0);
