--- a/src/net/validate.hpp
+++ b/src/net/validate.hpp
@@ -26,7 +26,8 @@
 // if it is valid.
 std::optional<Fault> CheckRequest(const RequestHeader& header);
 
-// Whether a request has one length or transfer encoding that every HTTP implementation reads the same way.
+// Whether a request has at most one Content-Length or Transfer-Encoding, in a form that every HTTP
+// implementation reads the same way.
 bool HasClearFraming(const RequestHeader& header);
 
 // Whether the client waits for `100 Continue` before it sends the body.
