--- a/relay/session.cpp
+++ b/relay/session.cpp
@@ -98,7 +98,7 @@
   owner_->CountCall();
   if (error == http::error::header_limit || error == http::error::buffer_overflow)
     return Refuse(http::status::request_header_fields_too_large, "the call is too long\n");
-  if (error || !net::HasClearFraming(head_->parser.get()))
+  if (error || !net::HasUnambiguousFraming(head_->parser.get()))
     return Refuse(http::status::bad_request, "malformed call\n");
   Answer();
   head_.reset();
@@ -106,7 +106,7 @@
 
 void Session::Answer() {
   const auto& call = head_->parser.get();
-  const std::string_view target = net::View(call.target());
+  const std::string_view target = net::ToStringView(call.target());
   const std::string_view path = target.substr(0, target.find('?'));
   if (path != kListPath && path != kStatusPath) return Refuse(http::status::not_found, "unknown call\n");
   if (call.method() != http::verb::get)
--- a/scale/server_stand_in.cpp
+++ b/scale/server_stand_in.cpp
@@ -110,7 +110,7 @@
       ++state_->counts.invalid;
       return Write(net::Plain(http::status::not_found, "no Req-Id\n"));
     }
-    const auto seconds = net::ParseDecimal(net::View(request_[net::kDeadlineHeader]));
+    const auto seconds = net::ParseDecimal(net::ToStringView(request_[net::kDeadlineHeader]));
     deadline_ = seconds
                     ? Clock::now() +
                           std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(*seconds))
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -18,7 +18,7 @@
 
 // Formats a JSON value that is no object and no list.
 std::string FormatScalar(const Json& value) {
-  if (value.is_string()) return WireName(value.get<std::string>());
+  if (value.is_string()) return ToWireName(value.get<std::string>());
   if (value.is_number_float()) {  // 250000.0 is written as 250000
     const double number = value.get<double>();
     if (std::trunc(number) == number && std::abs(number) < kMaxExactInteger)
@@ -47,7 +47,7 @@
 void FlattenInto(const Json& value, const std::string& path, std::string& out) {
   if (value.is_object()) {
     for (const auto& [key, inner] : value.items())
-      FlattenInto(inner, path.empty() ? WireName(key) : path + "." + WireName(key), out);
+      FlattenInto(inner, path.empty() ? ToWireName(key) : path + "." + ToWireName(key), out);
   } else if (value.is_array()) {
     FlattenList(value, path, out);
   } else if (!value.is_null()) {
@@ -84,12 +84,13 @@
 void ParseLimits(const Json& json, Config& config) {
   if (!json.contains("limits")) return;
   const Json& limits = json.at("limits");
-  config.sockets = limits.value("sockets", static_cast<std::uint64_t>(config.sockets));
+  config.descriptor_limit = limits.value("sockets", static_cast<std::uint64_t>(config.descriptor_limit));
   const double megabytes = limits.value("memory_mb", 64.0);
-  if (config.sockets < 64) throw ConfigError("limits.sockets: the sidecar needs at least 64 to work");
+  if (config.descriptor_limit < 64)
+    throw ConfigError("limits.sockets: the sidecar needs at least 64 to work");
   if (!(megabytes >= 16 && megabytes <= 1e9))
     throw ConfigError("limits.memory_mb: the sidecar needs at least 16 to work, and at most 1e9");
-  config.memory = static_cast<std::size_t>(megabytes * (1 << 20));
+  config.memory_limit = static_cast<std::size_t>(megabytes * (1 << 20));
 }
 
 std::vector<std::string> ParseClassNames(const Json& settings) {
@@ -109,7 +110,7 @@
   ParseLimits(json, config);
   config.wire = drill::ParseSettings(Flatten(json.at("settings")));
   config.class_names = ParseClassNames(json.at("settings"));
-  config.known = ParseKnownList(json, config.wire);
+  config.last_known_list = ParseKnownList(json, config.wire);
   return config;
 }
 
@@ -154,7 +155,7 @@
 
 }  // namespace
 
-std::string WireName(std::string_view name) {
+std::string ToWireName(std::string_view name) {
   std::string out(name);
   std::replace_if(
       out.begin(), out.end(), [](char c) { return c == ' ' || c == ','; }, '_');
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -29,14 +29,14 @@
   Tcp::endpoint listen;
   Tcp::endpoint discovery;
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;                  // maximum number of open file descriptors
-  std::size_t memory = std::size_t{64} << 20;  // maximum memory use in bytes
-  std::optional<Tcp::endpoint> management;     // address of the management endpoint, if there is one
-  std::optional<int> accept_fd;                // listening socket for clients, inherited from the parent
-  std::string shared_dir;                      // shared with the next version's process; empty = none
-  std::vector<std::string> class_names;        // as spelled in the settings, by class index
-  drill::WireSettings wire;                    // the settings of the decision module
-  EndpointList known;                          // the last list of servers that this sidecar had
+  std::size_t descriptor_limit = 1024;               // maximum number of open file descriptors
+  std::size_t memory_limit = std::size_t{64} << 20;  // maximum memory use in bytes
+  std::optional<Tcp::endpoint> management;           // address of the management endpoint, if there is one
+  std::optional<int> accept_fd;          // listening socket for clients, inherited from the parent
+  std::string shared_dir;                // shared with the next version's process; empty = none
+  std::vector<std::string> class_names;  // as spelled in the settings, by class index
+  drill::WireSettings wire;              // the settings of the decision module
+  EndpointList last_known_list;          // the last list of servers that this sidecar had
 };
 
 // Converts the JSON settings to the `path=value` pairs that drill::ParseSettings reads, so that the sidecar
@@ -44,7 +44,7 @@
 std::string Flatten(const nlohmann::json& settings);
 
 // Replaces the spaces and commas of a name by underscores, as both are separators in the `path=value` pairs.
-std::string WireName(std::string_view name);
+std::string ToWireName(std::string_view name);
 
 // Values from the environment that replace those of the file; an empty string replaces nothing.
 struct Overrides {
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -29,8 +29,8 @@
   const auto address = ParseAddress(json.value("hostPort", std::string()));
   if (!address && out.info.state != ServerInfo::State::kGone) error = "a hostPort that is no address";
   out.address = address.value_or(Tcp::endpoint());
-  out.info.zone = drill::IndexOf(names.zones, WireName(json.value("zone", std::string())));
-  out.info.machine = drill::IndexOf(names.machines, WireName(json.value("machineType", std::string())));
+  out.info.zone = drill::IndexOf(names.zones, ToWireName(json.value("zone", std::string())));
+  out.info.machine = drill::IndexOf(names.machines, ToWireName(json.value("machineType", std::string())));
   out.info.cell = json.value("cell", std::int64_t{-1});
   out.info.weight = json.value("weight", 1.0);
   const auto started = json.value("startedAtMs", std::int64_t{0});
--- a/src/net/inbound.cpp
+++ b/src/net/inbound.cpp
@@ -99,15 +99,15 @@
     writer_->Start();
   }
 
-  void Reject(const Fault& fault) {
+  void Reject(const Rejection& rejection) {
     if (state_ != State::kBusy && state_ != State::kReading) return;
     state_ = State::kBusy;
     keep_alive_ = false;
-    HttpResponse response = Plain(fault.status, fault.text);
+    HttpResponse response = Plain(rejection.status, rejection.text);
     // What has no room now may have in a moment.
-    if (fault.status == http::status::service_unavailable) response.set(http::field::retry_after, "0.2");
-    if (fault.status == http::status::method_not_allowed && fault.allow != nullptr)
-      response.set(http::field::allow, fault.allow);
+    if (rejection.status == http::status::service_unavailable) response.set(http::field::retry_after, "0.2");
+    if (rejection.status == http::status::method_not_allowed && rejection.allow != nullptr)
+      response.set(http::field::allow, rejection.allow);
     Respond(Whole(std::move(response)));
   }
 
@@ -187,7 +187,7 @@
  private:
   enum class State { kReading, kBusy, kWriting, kLingering, kClosed };
 
-  static Fault TooSlow() { return {http::status::request_timeout, "the request took too long\n"}; }
+  static Rejection TooSlow() { return {http::status::request_timeout, "the request took too long\n"}; }
 
   // The time that so much of a body may take.
   Micros BodyTime() const {
@@ -260,7 +260,7 @@
       const std::size_t room = std::min(piece.size(), kMostHeld - parser_->held.size());
       ErrorCode error;
       const std::size_t n = Feed(parser, buffer_, asio::buffer(piece.data(), room), error);
-      if (error) return Reject(FaultOf(error));
+      if (error) return Reject(RejectionFor(error));
       if (!had_header && parser.is_header_done() && !TakeHeader()) return;
       parser_->held.append(piece.data(), n);
       parser_->received += n;
@@ -270,7 +270,7 @@
     if (parser.is_done() || parser_->held.size() >= kMostHeld) Dispatch();
   }
 
-  static Fault FaultOf(ErrorCode error) {
+  static Rejection RejectionFor(ErrorCode error) {
     if (error == http::error::body_limit) return {http::status::payload_too_large, "too large\n"};
     if (error == http::error::header_limit)
       return {http::status::request_header_fields_too_large, "header too large\n"};
@@ -283,7 +283,7 @@
     const auto& header = parser.get();
     head_only_ = header.method() == http::verb::head;
     version_ = header.version();
-    if (const auto fault = CheckRequest(header)) return Reject(*fault), false;
+    if (const auto rejection = CheckRequest(header)) return Reject(*rejection), false;
     const std::uint64_t size =
         parser.chunked() ? kMostBody : static_cast<std::uint64_t>(parser.content_length().value_or(0));
     const std::size_t cost = size > kMostHeld ? kMostHeld + kStreamCost : static_cast<std::size_t>(size);
@@ -310,7 +310,7 @@
       return Respond(Whole(Plain(ready ? http::status::ok : http::status::service_unavailable,
                                  ready ? "ready\n" : "not yet\n")));
     }
-    request_ = std::string(View(header[kIdHeader]));
+    request_ = std::string(ToStringView(header[kIdHeader]));
     Message<true> request;
     request.head = header.base();
     uploading_ = !parser_->parser.is_done();
@@ -335,7 +335,7 @@
       return std::exchange(taken_, nullptr)(asio::error::connection_aborted, 0, true);
     ErrorCode error;
     const std::size_t n = Feed(parser_->parser, buffer_, into_, error);
-    if (error) return FailUpload(FaultOf(error));
+    if (error) return FailUpload(RejectionFor(error));
     parser_->received += n;
     const bool over = parser_->parser.is_done();
     if (n == 0 && !over) return Read();
@@ -346,13 +346,13 @@
   }
 
   // The client's part of a request that is already under way has gone wrong.
-  void FailUpload(const Fault& fault) {
+  void FailUpload(const Rejection& rejection) {
     const auto self = shared_from_this();
     const Taken taken = std::exchange(taken_, nullptr);
     owner_.events_.on_gone(request_);
     if (taken) taken(asio::error::connection_aborted, 0, true);
     uploading_ = false;
-    Reject(fault);
+    Reject(rejection);
   }
 
   void OnWritten(ErrorCode error, bool source_failed) {
@@ -442,7 +442,7 @@
 
 void Inbound::Respond(const SessionPtr& session, Reply reply) { session->Respond(std::move(reply)); }
 
-void Inbound::Reject(const SessionPtr& session, const Fault& fault) { session->Reject(fault); }
+void Inbound::Reject(const SessionPtr& session, const Rejection& rejection) { session->Reject(rejection); }
 
 bool Inbound::ClientLeft(const SessionPtr& session) {
   if (!session->Left()) return false;
--- a/src/net/inbound.hpp
+++ b/src/net/inbound.hpp
@@ -68,7 +68,7 @@
   // Answers the session's request.
   static void Respond(const SessionPtr& session, Reply reply);
   // The same for a request that is wrong: its connection is closed, as what is behind it cannot be trusted.
-  static void Reject(const SessionPtr& session, const Fault& fault);
+  static void Reject(const SessionPtr& session, const Rejection& rejection);
   // Whether the client of the session's request has left by now; if so, on_gone tells of it soon.
   static bool ClientLeft(const SessionPtr& session);
 
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -31,7 +31,7 @@
   return -1;
 }
 
-Management::Reply TextReply(http::status status, const char* text) { return {status, text}; }
+ManagementEndpoint::Reply TextReply(http::status status, const char* text) { return {status, text}; }
 
 }  // namespace
 
@@ -53,9 +53,9 @@
 }
 
 // One connection: reads a request, writes the answer and waits for the caller to close.
-class Management::Session : public std::enable_shared_from_this<Session> {
+class ManagementEndpoint::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Management& owner, Tcp::socket socket)
+  Session(ManagementEndpoint& owner, Tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {
     parser_.header_limit(kMaxHeaderSize);
   }
@@ -100,10 +100,10 @@
     const bool parsed = !error;
     if (!parsed && error.category() != make_error_code(http::error::bad_target).category()) return Close();
     const auto& request = parser_.get();
-    if (!parsed || !HasClearFraming(request))
+    if (!parsed || !HasUnambiguousFraming(request))
       return SendReply(TextReply(http::status::bad_request, "malformed call\n"));
     head_only_ = request.method() == http::verb::head;
-    SendReply(owner_->Dispatch(request.method(), View(request.target())));
+    SendReply(owner_->Dispatch(request.method(), ToStringView(request.target())));
   }
 
   void SendReply(const Reply& reply) {
@@ -138,7 +138,7 @@
                             });
   }
 
-  Management* owner_;  // null once the session is closed
+  ManagementEndpoint* owner_;  // null once the session is closed
   Tcp::socket socket_;
   asio::steady_timer timer_;
   beast::flat_buffer buffer_{2 * kMaxHeaderSize};
@@ -147,26 +147,27 @@
   bool head_only_ = false;
 };
 
-Management::Management(asio::io_context& io, const Tcp::endpoint& address, Limits limits, Calls calls)
+ManagementEndpoint::ManagementEndpoint(asio::io_context& io, const Tcp::endpoint& address, Limits limits,
+                                       Handlers handlers)
     : io_(io),
       limits_(limits),
-      calls_(std::move(calls)),
+      handlers_(std::move(handlers)),
       acceptor_(io, address, /*reuse_addr=*/true),
       address_(acceptor_.local_endpoint()),
       accept_retry_timer_(io) {
   Accept();
 }
 
-Management::~Management() {
+ManagementEndpoint::~ManagementEndpoint() {
   for (const SessionPtr& session : sessions_) session->Detach();
 }
 
-void Management::Accept() {
+void ManagementEndpoint::Accept() {
   acceptor_.async_accept(
       [this](ErrorCode error, Tcp::socket socket) { OnAccepted(error, std::move(socket)); });
 }
 
-void Management::OnAccepted(ErrorCode error, Tcp::socket socket) {
+void ManagementEndpoint::OnAccepted(ErrorCode error, Tcp::socket socket) {
   if (error == asio::error::operation_aborted) return;
   if (error) {
     accept_retry_timer_.expires_after(kAcceptRetryDelay);
@@ -185,7 +186,7 @@
   Accept();
 }
 
-Management::Reply Management::Dispatch(http::verb method, std::string_view target) const {
+ManagementEndpoint::Reply ManagementEndpoint::Dispatch(http::verb method, std::string_view target) const {
   const std::string_view path = target.substr(0, target.find('?'));
   // The answer to a request with another method than `allowed`; nullopt if the method is right.
   const auto reject_other_method = [&](http::verb allowed, const char* name) -> std::optional<Reply> {
@@ -196,19 +197,19 @@
   };
   if (path == kReadinessPath) {
     if (const auto rejection = reject_other_method(http::verb::get, "GET")) return *rejection;
-    return calls_.ready() ? TextReply(http::status::ok, "ready\n")
-                          : TextReply(http::status::service_unavailable, "not ready\n");
+    return handlers_.ready() ? TextReply(http::status::ok, "ready\n")
+                             : TextReply(http::status::service_unavailable, "not ready\n");
   }
   if (path == kStatsPath) {
     if (const auto rejection = reject_other_method(http::verb::get, "GET")) return *rejection;
-    return {http::status::ok, calls_.stats(), "application/json"};
+    return {http::status::ok, handlers_.stats(), "application/json"};
   }
   for (const std::string_view prefix : {kDownPath, kUpPath}) {
     if (path.substr(0, prefix.size()) != prefix) continue;
     if (const auto rejection = reject_other_method(http::verb::post, "POST")) return *rejection;
     const auto server = PercentDecode(path.substr(prefix.size()));
     if (!server || server->empty()) return TextReply(http::status::bad_request, "no server named\n");
-    return calls_.ban(*server, prefix == kDownPath);
+    return handlers_.set_admin_down(*server, prefix == kDownPath);
   }
   return TextReply(http::status::not_found, "unknown call\n");
 }
--- a/src/net/management.hpp
+++ b/src/net/management.hpp
@@ -18,7 +18,7 @@
 namespace merlinrun::net {
 
 // Answers one request per connection and then closes the connection.
-class Management {
+class ManagementEndpoint {
  public:
   // The maximum number of open connections. One more closes the oldest: a complete request is answered as
   // soon as it is read, so the callers of the open connections are slow to send theirs or to close.
@@ -31,11 +31,11 @@
     const char* allow = nullptr;  // value of the Allow header of a 405 answer; null = no such header
   };
   // The sidecar's part of the answers.
-  struct Calls {
+  struct Handlers {
     std::function<bool()> ready;
     std::function<std::string()> stats;  // as JSON text
-    // Takes a server out of use (`out`) or puts it back.
-    std::function<Reply(const std::string& server, bool out)> ban;
+    // Takes a server out of use (`down`) or puts it back.
+    std::function<Reply(const std::string& server, bool down)> set_admin_down;
   };
   // In microseconds.
   struct Limits {
@@ -44,10 +44,10 @@
   };
 
   // Starts to listen. Throws boost::system::system_error if the address cannot be listened on.
-  Management(asio::io_context& io, const Tcp::endpoint& address, Limits limits, Calls calls);
-  ~Management();
-  Management(const Management&) = delete;
-  Management& operator=(const Management&) = delete;
+  ManagementEndpoint(asio::io_context& io, const Tcp::endpoint& address, Limits limits, Handlers handlers);
+  ~ManagementEndpoint();
+  ManagementEndpoint(const ManagementEndpoint&) = delete;
+  ManagementEndpoint& operator=(const ManagementEndpoint&) = delete;
 
   Tcp::endpoint address() const { return address_; }
 
@@ -61,7 +61,7 @@
 
   asio::io_context& io_;
   const Limits limits_;
-  const Calls calls_;
+  const Handlers handlers_;
   Tcp::acceptor acceptor_;
   Tcp::endpoint address_;
   asio::steady_timer accept_retry_timer_;
--- a/src/net/shared_dir.cpp
+++ b/src/net/shared_dir.cpp
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-std::string Printable(const std::string& text) {
+std::string SanitizeForLog(const std::string& text) {
   std::string printable = text.substr(0, 100);
   for (char& c : printable)
     if (c < ' ' || c > '~') c = '?';
@@ -80,7 +80,7 @@
   ::close(presence_fd_);
 }
 
-void SharedDir::ShowPresence() {
+void SharedDir::AcquirePresenceLock() {
   if (path_.empty() || presence_fd_ >= 0) return;
   std::string name = path_ + "/" + std::string(kPresencePrefix) + "XXXXXX";
   presence_fd_ = ::mkostemp(name.data(), O_CLOEXEC);
@@ -115,41 +115,42 @@
   return false;
 }
 
-bool SharedDir::Keep(const std::string& server) {
+bool SharedDir::RecordAdminDown(const std::string& server) {
   const std::string text = server + "\n";
   return !path_.empty() && text.size() <= kMaxRecordSize && WriteAtomically(RecordFileName(server), text);
 }
 
-bool SharedDir::Leave(const std::string& text) {
+bool SharedDir::WriteHandover(const std::string& text) {
   return !path_.empty() && text.size() <= kMaxHandoverSize &&
          WriteAtomically(std::string(kHandoverName), text);
 }
 
-std::string SharedDir::Left() const {
+std::string SharedDir::ReadHandover() const {
   return path_.empty() ? "" : ReadUpTo(path_ + "/" + std::string(kHandoverName), kMaxHandoverSize);
 }
 
-bool SharedDir::Drop(const std::string& server) {
+bool SharedDir::ClearAdminDown(const std::string& server) {
   if (path_.empty()) return false;
   return ::unlink((path_ + "/" + RecordFileName(server)).c_str()) == 0 || errno == ENOENT;
 }
 
 void SharedDir::ReportUnrecognized(const std::string& name) {
   if (reported_.size() >= kMaxReported || !reported_.insert(name).second) return;
-  std::fprintf(stderr, "shared folder: not understood and ignored: %s\n", Printable(name).c_str());
+  std::fprintf(stderr, "shared folder: not understood and ignored: %s\n", SanitizeForLog(name).c_str());
 }
 
-SharedDir::View SharedDir::Look() {
-  View view;
-  if (path_.empty()) return view;
+SharedDir::Contents SharedDir::Scan() {
+  Contents contents;
+  if (path_.empty()) return contents;
   const std::unique_ptr<DIR, CloseDir> dir(::opendir(path_.c_str()));
-  if (dir == nullptr) return view;
-  view.readable = true;
+  if (dir == nullptr) return contents;
+  contents.readable = true;
   while (const dirent* entry = ::readdir(dir.get())) {
     const std::string name = entry->d_name;
     if (name == "." || name == ".." || name == kHandoverName || StartsWith(name, kTemporaryPrefix)) continue;
     if (StartsWith(name, kPresencePrefix)) {
-      if (name != presence_name_) view.others = ProbePresence(name) || view.others;
+      if (name != presence_name_)
+        contents.other_process_alive = ProbePresence(name) || contents.other_process_alive;
       continue;
     }
     if (entry->d_type == DT_DIR && !StartsWith(name, kAdminDownPrefix))
@@ -159,12 +160,12 @@
     const bool complete = server.size() > 1 && server.back() == '\n';
     if (complete) server.pop_back();
     if (complete && RecordFileName(server) == name) {
-      view.out.insert(server);
+      contents.admin_down.insert(server);
     } else {
       ReportUnrecognized(name);
     }
   }
-  return view;
+  return contents;
 }
 
 }  // namespace merlinrun::net
--- a/src/net/shared_dir.hpp
+++ b/src/net/shared_dir.hpp
@@ -10,7 +10,7 @@
 namespace merlinrun::net {
 
 // Makes text from outside safe to log: at most 100 bytes, and a `?` for each that is not printable ASCII.
-std::string Printable(const std::string& text);
+std::string SanitizeForLog(const std::string& text);
 
 // Access to the folder. It holds one file per live process (`alive.*`, locked), one per server that is
 // administratively down (`out.*`), the learned state (`learnt`), and files that are still being written
@@ -25,26 +25,26 @@
 
   // Announces this process to the other one: creates a file and holds a lock on it, which the kernel releases
   // however the process ends.
-  void ShowPresence();
+  void AcquirePresenceLock();
 
   // Records that a server is administratively down, or that it no longer is. On failure returns false and
   // changes nothing.
-  bool Keep(const std::string& server);
-  bool Drop(const std::string& server);
+  bool RecordAdminDown(const std::string& server);
+  bool ClearAdminDown(const std::string& server);
 
   // Writes the handover file, atomically; false if that fails.
-  bool Leave(const std::string& text);
+  bool WriteHandover(const std::string& text);
   // The content of the handover file; empty if there is none.
-  std::string Left() const;
+  std::string ReadHandover() const;
 
   // What the folder holds.
-  struct View {
-    bool readable = false;      // false: the folder cannot be read, and the rest is empty
-    bool others = false;        // another process of this sidecar is alive
-    std::set<std::string> out;  // servers that are administratively down
+  struct Contents {
+    bool readable = false;             // false: the folder cannot be read, and the rest is empty
+    bool other_process_alive = false;  // another process of this sidecar is alive
+    std::set<std::string> admin_down;  // servers that are administratively down
   };
   // Reads the folder. A file that is not understood is logged once and otherwise ignored.
-  View Look();
+  Contents Scan();
 
  private:
   bool WriteAtomically(const std::string& name, const std::string& text);
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -97,7 +97,8 @@
 }
 
 std::size_t ClientSockets(const Config& config) {
-  return static_cast<std::size_t>(kClientShare * static_cast<double>(config.sockets - kOtherSockets));
+  return static_cast<std::size_t>(kClientShare *
+                                  static_cast<double>(config.descriptor_limit - kOtherSockets));
 }
 
 Upstream::Limits UpstreamLimits(const Config& config) {
@@ -105,7 +106,7 @@
   limits.keep_idle =
       static_cast<Micros>(kIdleShare * static_cast<double>(config.wire.settings.connection_idle));
   limits.dial_timeout = config.wire.settings.dial_timeout;
-  limits.connections = config.sockets - kOtherSockets - ClientSockets(config);
+  limits.connections = config.descriptor_limit - kOtherSockets - ClientSockets(config);
   return limits;
 }
 
@@ -135,7 +136,7 @@
       config_(std::move(config)),
       shared_(config_.accept_fd || config_.management ? config_.shared_dir : ""),
       clock_offset_(ClockOffset()),
-      budget_(config_.memory / kBudgetShare),
+      budget_(config_.memory_limit / kBudgetShare),
       counters_(config_.wire.settings.classes.size()),
       upstream_(io, UpstreamLimits(config_), budget_, counters_),
       discovery_(io, config_.discovery, config_.wire, DiscoveryTiming(config_), config_.seed,
@@ -147,8 +148,8 @@
       drain_timer_(io),
       look_timer_(io),
       log_timer_(io) {
-  if (config_.accept_fd) shared_.ShowPresence();
-  config_.wire.settings.takes_over = shared_.Look().others;
+  if (config_.accept_fd) shared_.AcquirePresenceLock();
+  config_.wire.settings.takes_over = shared_.Scan().other_process_alive;
   std::string error;
   balancer_ = Balancer::Create(config_.wire.settings, config_.seed, Now(), *this, error);
   if (balancer_ == nullptr) throw ConfigError("settings: " + error);
@@ -169,16 +170,17 @@
   inbound_ =
       std::make_unique<Inbound>(io_, config_.listen, config_.accept_fd, limits, budget_, std::move(events));
   if (config_.management) {
-    Management::Calls calls;
-    calls.ready = [this] { return Ready(); };
-    calls.stats = [this] { return Figures(); };
-    calls.ban = [this](const std::string& server, bool out) { return OnBan(server, out); };
-    management_ =
-        std::make_unique<Management>(io_, *config_.management, Management::Limits{}, std::move(calls));
+    ManagementEndpoint::Handlers handlers;
+    handlers.ready = [this] { return Ready(); };
+    handlers.stats = [this] { return Figures(); };
+    handlers.set_admin_down = [this](const std::string& server, bool out) { return OnBan(server, out); };
+    management_ = std::make_unique<ManagementEndpoint>(io_, *config_.management, ManagementEndpoint::Limits{},
+                                                       std::move(handlers));
   }
-  OnList(ListUpdate::Kind::kStale, config_.known);
-  discovery_.Know(config_.known.endpoints.empty() ? Discovery::kUnknown : config_.known.generation);
-  if (config_.wire.settings.takes_over && !balancer_->RestoreLearnedState(Now(), shared_.Left()))
+  OnList(ListUpdate::Kind::kStale, config_.last_known_list);
+  discovery_.Know(config_.last_known_list.endpoints.empty() ? Discovery::kUnknown
+                                                            : config_.last_known_list.generation);
+  if (config_.wire.settings.takes_over && !balancer_->RestoreLearnedState(Now(), shared_.ReadHandover()))
     std::fprintf(stderr, "shared folder: nothing to be learnt from the process before this one\n");
   if (!config_.wire.settings.must_subscribe) discovery_.Watch();
   if (config_.accept_fd || config_.management) Look();
@@ -208,9 +210,9 @@
 }
 
 // The record comes before the yes: what has been promised outlives this process.
-Management::Reply Sidecar::OnBan(const std::string& server, bool out) {
+ManagementEndpoint::Reply Sidecar::OnBan(const std::string& server, bool out) {
   if (ever_listed_.count(server) == 0) return {http::status::not_found, "never listed\n"};
-  if (!(out ? shared_.Keep(server) : shared_.Drop(server)))
+  if (!(out ? shared_.RecordAdminDown(server) : shared_.ClearAdminDown(server)))
     return {http::status::service_unavailable, "it cannot be recorded; nothing is changed\n"};
   SetBan(server, out);
   return {http::status::ok, out ? "out\n" : "back\n"};
@@ -224,7 +226,7 @@
   } else {
     banned_.erase(server);
   }
-  std::fprintf(stderr, "by hand: %s %s, %zu out now\n", out ? "out" : "back", Printable(server).c_str(),
+  std::fprintf(stderr, "by hand: %s %s, %zu out now\n", out ? "out" : "back", SanitizeForLog(server).c_str(),
                banned_.size());
   balancer_->SetAdminDown(Now(), server, out);
   upstream_.SetOut(server, out);
@@ -275,10 +277,10 @@
 
 // ---- A request's life ----
 
-std::optional<Fault> Sidecar::Check(const RequestHeader& request, int request_class) const {
-  if (request_class < 0) return Fault{http::status::not_found, "unknown Req-Kind\n"};
-  if (calls_.count(std::string(View(request[kIdHeader]))) > 0)
-    return Fault{http::status::conflict, "Req-Id is in use\n"};
+std::optional<Rejection> Sidecar::Check(const RequestHeader& request, int request_class) const {
+  if (request_class < 0) return Rejection{http::status::not_found, "unknown Req-Kind\n"};
+  if (calls_.count(std::string(ToStringView(request[kIdHeader]))) > 0)
+    return Rejection{http::status::conflict, "Req-Id is in use\n"};
   return CheckAgainstClass(request,
                            config_.wire.settings.classes[static_cast<std::size_t>(request_class)].repeat);
 }
@@ -286,7 +288,7 @@
 // How long there is for the final answer: what the client says, its class's deadline at most.
 Micros Sidecar::BudgetOf(const RequestHeader& request, std::size_t request_class) const {
   Micros budget = config_.wire.settings.classes[request_class].deadline;
-  if (const auto seconds = ParseDecimal(View(request[kDeadlineHeader]))) {
+  if (const auto seconds = ParseDecimal(ToStringView(request[kDeadlineHeader]))) {
     const auto told = static_cast<Micros>(*seconds * static_cast<double>(kSecond));
     budget = budget > 0 ? std::min(budget, told) : told;
   }
@@ -295,12 +297,12 @@
 }
 
 void Sidecar::OnRequest(const Inbound::SessionPtr& session, Message<true> request) {
-  const std::string id(View(request.head[kIdHeader]));
-  const int request_class = ClassIndex(View(request.head[kClassHeader]));
-  if (const auto fault = Check(request.head, request_class)) {
-    Note(fault->text);
-    TraceRequest(id, "rejected", [&] { return Printable(fault->text); });
-    return Inbound::Reject(session, *fault);
+  const std::string id(ToStringView(request.head[kIdHeader]));
+  const int request_class = ClassIndex(ToStringView(request.head[kClassHeader]));
+  if (const auto rejection = Check(request.head, request_class)) {
+    Note(rejection->text);
+    TraceRequest(id, "rejected", [&] { return SanitizeForLog(rejection->text); });
+    return Inbound::Reject(session, *rejection);
   }
   const Micros now = Now();
   const Micros budget = BudgetOf(request.head, static_cast<std::size_t>(request_class));
@@ -320,14 +322,14 @@
   in.id = id;
   in.request_class = request_class;
   const auto& head = call.request.head;
-  in.tenant = TenantIndex(View(head[kTenantHeader]));
+  in.tenant = TenantIndex(ToStringView(head[kTenantHeader]));
   in.budget = budget;
   in.body_pending = call.partial;
   in.repeated = head[kRepeatHeader] == "1";
   in.write = head.method() != http::verb::get;
-  if (const auto cost = ParseDecimal(View(head[kCostHeader])); cost && *cost < 1e12)
+  if (const auto cost = ParseDecimal(ToStringView(head[kCostHeader])); cost && *cost < 1e12)
     in.cost = static_cast<Micros>(*cost);
-  const std::string key(KeyOf(View(head.target())));
+  const std::string key(KeyOf(ToStringView(head.target())));
   in.key = key;
   balancer_->OnRequest(now, in);
   EraseIfOver(id);
@@ -395,7 +397,7 @@
 
 // A usual request that there was no room to hear: refused, and counted as such.
 void Sidecar::OnTurnedAway(const RequestHeader& header) {
-  const int request_class = ClassIndex(View(header[kClassHeader]));
+  const int request_class = ClassIndex(ToStringView(header[kClassHeader]));
   Note("out of memory for requests");
   if (request_class < 0) return;
   counters_.Take(static_cast<std::size_t>(request_class));
@@ -409,7 +411,7 @@
 
 // A server's answer. One that goes on in pieces has ended when the last of them has gone.
 void Sidecar::PassOn(Call& call, UpstreamAnswer answer) {
-  TraceRequest(View(call.request.head[kIdHeader]), "answered");
+  TraceRequest(ToStringView(call.request.head[kIdHeader]), "answered");
   Inbound::Reply reply;
   reply.message.head.result(http::status::ok);
   if (const auto type = answer.message.head[http::field::content_type]; !type.empty())
@@ -527,7 +529,7 @@
   const auto own = std::find(config_.class_names.begin(), config_.class_names.end(), name);
   if (own != config_.class_names.end()) return static_cast<int>(own - config_.class_names.begin());
   const auto& classes = config_.wire.settings.classes;
-  const std::string wire_name = WireName(name);
+  const std::string wire_name = ToWireName(name);
   const auto it = std::find_if(classes.begin(), classes.end(),
                                [&](const RequestClass& c) { return c.name == wire_name; });
   return it == classes.end() ? -1 : static_cast<int>(it - classes.begin());
@@ -535,7 +537,7 @@
 
 int Sidecar::TenantIndex(std::string_view name) const {
   const auto& tenants = config_.wire.settings.tenants;
-  const std::string wire_name = WireName(name);
+  const std::string wire_name = ToWireName(name);
   const auto it =
       std::find_if(tenants.begin(), tenants.end(), [&](const Tenant& t) { return t.name == wire_name; });
   return it == tenants.end() ? -1 : static_cast<int>(it - tenants.begin());
@@ -641,22 +643,22 @@
 // Two processes of one sidecar have one sidecar's memory and descriptors. What clients use at once is bounded
 // by them, whichever process serves it, so each may still hold that; idle connections are what has to go.
 void Sidecar::Look() {
-  const SharedDir::View view = shared_.Look();
-  if (view.others != std::exchange(others_, view.others)) {
+  const SharedDir::Contents view = shared_.Scan();
+  if (view.other_process_alive != std::exchange(others_, view.other_process_alive)) {
     const std::size_t parts = others_ ? 2 : 1;
-    budget_.SetMost(config_.memory / kBudgetShare / parts);
+    budget_.SetMost(config_.memory_limit / kBudgetShare / parts);
     inbound_->KeepAtMost(ClientSockets(config_) / parts);
     upstream_.KeepAtMost(UpstreamLimits(config_).connections / parts);
   }
   if (view.readable) {
     for (const std::string& server : std::set<std::string>(banned_))
-      if (view.out.count(server) == 0) SetBan(server, false);
-    for (const std::string& server : view.out) SetBan(server, true);
+      if (view.admin_down.count(server) == 0) SetBan(server, false);
+    for (const std::string& server : view.admin_down) SetBan(server, true);
   }
   // What has been learnt is left for the next process; while two live, the one that was there first has done
   // so.
   if (config_.accept_fd && !others_ && looks_++ % kLooksToLeave == 0)
-    shared_.Leave(balancer_->ExportLearnedState());
+    shared_.WriteHandover(balancer_->ExportLearnedState());
   if (config_.accept_fd) LookLater();  // else there is no other process
 }
 
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -99,7 +99,7 @@
   void Conclude(const std::string& id, int attempt, Result result, const LoadReport& load = {});
   bool Ready() const;
   std::string Figures();
-  Management::Reply OnBan(const std::string& server, bool out);
+  ManagementEndpoint::Reply OnBan(const std::string& server, bool out);
   void SetBan(const std::string& server, bool out);
   void OnTurnedAway(const RequestHeader& header);
   void Answer(Call& call, Counters::End end, HttpResponse response);
@@ -114,7 +114,7 @@
   static bool Wanted(const Call& call);
   static const char* WhyNotSent(const Call& call);
   static Message<true> Forwarded(const Call& call, Micros left);
-  std::optional<Fault> Check(const RequestHeader& request, int request_class) const;
+  std::optional<Rejection> Check(const RequestHeader& request, int request_class) const;
   Micros BudgetOf(const RequestHeader& request, std::size_t request_class) const;
   int ClassIndex(std::string_view name) const;
   int TenantIndex(std::string_view name) const;
@@ -134,7 +134,7 @@
   Upstream upstream_;
   Discovery discovery_;
   std::unique_ptr<Inbound> inbound_;
-  std::unique_ptr<Management> management_;
+  std::unique_ptr<ManagementEndpoint> management_;
   Calls calls_;
   std::unordered_set<std::string> ever_listed_;  // servers
   std::set<std::string> banned_;
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -287,7 +287,7 @@
   // Guards against answers of no end: eager parsing forgets that a length was over the limit (Boost 1.74), so
   // that an answer said to have 3 GB was read until memory ran out.
   bool TakeHeader() {
-    if (!AcceptAnswer(parser_->get())) return false;
+    if (!IsAcceptableResponse(parser_->get())) return false;
     if (parser_->get().result_int() < 200) {  // 1xx: more comes
       if (++interim_ > kMostInterim) return false;
       NextAnswer();
@@ -408,7 +408,7 @@
     if (!parser_ || !parser_->is_header_done()) return answer;
     answer.message.head = parser_->get().base();
     answer.message.held = std::make_shared<const std::string>(std::exchange(held_, {}));
-    answer.load = ReadLoad(View(answer.message.head[kLoadHeader]));
+    answer.load = ParseLoadHeader(ToStringView(answer.message.head[kLoadHeader]));
     return answer;
   }
 
--- a/src/net/validate.cpp
+++ b/src/net/validate.cpp
@@ -44,14 +44,14 @@
   const auto lengths = header.count(http::field::content_length);
   const auto codings = header.count(http::field::transfer_encoding);
   if (lengths + codings > 1) return false;
-  if (lengths == 1) return IsValidLength(View(header[http::field::content_length]));
+  if (lengths == 1) return IsValidLength(ToStringView(header[http::field::content_length]));
   return codings == 0 || (version == 11 && beast::iequals(header[http::field::transfer_encoding], "chunked"));
 }
 
 template <typename Header>
 bool HasBody(const Header& header) {
   if (header.count(http::field::transfer_encoding) > 0) return true;
-  const std::string_view length = View(header[http::field::content_length]);
+  const std::string_view length = ToStringView(header[http::field::content_length]);
   return std::any_of(length.begin(), length.end(), [](char c) { return c != '0'; });
 }
 
@@ -72,54 +72,54 @@
   return value;
 }
 
-bool HasClearFraming(const RequestHeader& header) { return HasSingleFraming(header, header.version()); }
+bool HasUnambiguousFraming(const RequestHeader& header) { return HasSingleFraming(header, header.version()); }
 
 bool ExpectsContinue(const RequestHeader& header) {
   return beast::iequals(header[http::field::expect], "100-continue");
 }
 
-std::optional<Fault> CheckRequest(const RequestHeader& header) {
-  const auto malformed = [](const char* text) { return Fault{http::status::bad_request, text}; };
+std::optional<Rejection> CheckRequest(const RequestHeader& header) {
+  const auto malformed = [](const char* text) { return Rejection{http::status::bad_request, text}; };
   if (static_cast<std::size_t>(std::distance(header.begin(), header.end())) > kMaxFields)
-    return Fault{http::status::request_header_fields_too_large, "too many header fields\n"};
-  if (!HasClearFraming(header)) return malformed("the body's length is in doubt\n");
-  const auto length = View(header[http::field::content_length]);
+    return Rejection{http::status::request_header_fields_too_large, "too many header fields\n"};
+  if (!HasUnambiguousFraming(header)) return malformed("the body's length is in doubt\n");
+  const auto length = ToStringView(header[http::field::content_length]);
   if (ParseDecimal(length).value_or(0) > static_cast<double>(kMostBody))
-    return Fault{http::status::payload_too_large, "too large\n"};
+    return Rejection{http::status::payload_too_large, "too large\n"};
   if (header.count(http::field::expect) > 1 ||
       (header.count(http::field::expect) > 0 && !ExpectsContinue(header)))
-    return Fault{http::status::expectation_failed, "this Expect is not supported\n"};
+    return Rejection{http::status::expectation_failed, "this Expect is not supported\n"};
   if (header.target().empty() || header.target().front() != '/' || header.target().size() > kMaxTargetSize)
     return malformed("the target is no path\n");
   if (HasRepeatedHeader(header)) return malformed("a header field is repeated\n");
   if (header.method() == http::verb::get && HasBody(header)) return malformed("GET with a body\n");
   if (header.target() == kReadyPath) {
     if (header.method() != http::verb::get)
-      return Fault{http::status::method_not_allowed, "GET alone\n", "GET"};
+      return Rejection{http::status::method_not_allowed, "GET alone\n", "GET"};
     return std::nullopt;
   }
-  if (!IsValidIdentifier(View(header[kIdHeader]), kMaxIdSize)) return malformed("no valid Req-Id\n");
+  if (!IsValidIdentifier(ToStringView(header[kIdHeader]), kMaxIdSize)) return malformed("no valid Req-Id\n");
   if (header.count(kDeadlineHeader) > 0) {
-    const auto deadline = ParseDecimal(View(header[kDeadlineHeader]));
+    const auto deadline = ParseDecimal(ToStringView(header[kDeadlineHeader]));
     if (!deadline || *deadline <= 0 || *deadline > kMaxDeadlineSeconds)
       return malformed("no valid Req-Deadline\n");
   }
   return std::nullopt;
 }
 
-std::optional<Fault> CheckAgainstClass(const RequestHeader& header, Repeat repeat) {
+std::optional<Rejection> CheckAgainstClass(const RequestHeader& header, Repeat repeat) {
   const bool has_key = header.count(kIdempotencyHeader) > 0;
   const auto method = repeat == Repeat::kSafe ? http::verb::get : http::verb::post;
   if (header.method() != method)
-    return Fault{http::status::method_not_allowed, "not this class's method\n",
-                 repeat == Repeat::kSafe ? "GET" : "POST"};
+    return Rejection{http::status::method_not_allowed, "not this class's method\n",
+                     repeat == Repeat::kSafe ? "GET" : "POST"};
   if (has_key != (repeat == Repeat::kDeduplicated) ||
-      (has_key && !IsValidIdentifier(View(header[kIdempotencyHeader]), kMaxIdempotencyKeySize)))
-    return Fault{http::status::bad_request, "Idempotency-Key does not fit the class\n"};
+      (has_key && !IsValidIdentifier(ToStringView(header[kIdempotencyHeader]), kMaxIdempotencyKeySize)))
+    return Rejection{http::status::bad_request, "Idempotency-Key does not fit the class\n"};
   return std::nullopt;
 }
 
-LoadReport ReadLoad(std::string_view text) {
+LoadReport ParseLoadHeader(std::string_view text) {
   constexpr std::string_view kPrefix = "TEXT ";
   LoadReport load;
   if (text.substr(0, kPrefix.size()) != kPrefix) return load;
@@ -137,9 +137,9 @@
   return load;
 }
 
-bool AcceptAnswer(const ResponseHeader& header) {
+bool IsAcceptableResponse(const ResponseHeader& header) {
   return HasSingleFraming(header, header.version()) &&
-         ParseDecimal(View(header[http::field::content_length])).value_or(0) <=
+         ParseDecimal(ToStringView(header[http::field::content_length])).value_or(0) <=
              static_cast<double>(kMostBody);
 }
 
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -32,15 +32,15 @@
   EXPECT_EQ(Text(config.listen), "127.0.0.2:80");  // from the environment
   EXPECT_EQ(Text(config.discovery), "127.0.0.1:81");
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
-  EXPECT_EQ(config.sockets, 1024U);
+  EXPECT_EQ(config.descriptor_limit, 1024U);
   ASSERT_EQ(config.wire.settings.classes.size(), 3U);
   EXPECT_EQ(config.wire.settings.classes[2].repeat, Repeat::kNever);
   EXPECT_EQ(config.wire.settings.dial_timeout, 250'000);
   EXPECT_EQ(config.wire.settings.zone, 0);
   EXPECT_EQ(config.class_names, (std::vector<std::string>{"look", "pay", "port"}));
   EXPECT_FALSE(config.management);
-  ASSERT_EQ(config.known.endpoints.size(), 1U);
-  EXPECT_EQ(config.known.endpoints[0].address, at);
+  ASSERT_EQ(config.last_known_list.endpoints.size(), 1U);
+  EXPECT_EQ(config.last_known_list.endpoints[0].address, at);
 }
 
 TEST(Config, EnvironmentOverridesTheManagementAddressOfTheFile) {
--- a/tests/net/management_test.cpp
+++ b/tests/net/management_test.cpp
@@ -11,14 +11,14 @@
 class ManagementTest : public ::testing::Test {
  protected:
   void Start() {
-    Management::Calls calls;
-    calls.ready = [this] { return ready; };
-    calls.stats = [] { return std::string("{}\n"); };
-    calls.ban = [this](const std::string& server, bool out) {
-      admin_changes.emplace_back(server, out);
-      return Management::Reply{http::status::ok, "yes\n"};
+    ManagementEndpoint::Handlers handlers;
+    handlers.ready = [this] { return ready; };
+    handlers.stats = [] { return std::string("{}\n"); };
+    handlers.set_admin_down = [this](const std::string& server, bool down) {
+      admin_changes.emplace_back(server, down);
+      return ManagementEndpoint::Reply{http::status::ok, "yes\n"};
     };
-    endpoint = std::make_unique<Management>(io, Loopback(), limits, std::move(calls));
+    endpoint = std::make_unique<ManagementEndpoint>(io, Loopback(), limits, std::move(handlers));
   }
   std::shared_ptr<Peer> Caller(const std::string& text = "") {
     auto caller = Connect(io, endpoint->address());
@@ -33,10 +33,10 @@
   }
 
   asio::io_context io;
-  Management::Limits limits;
+  ManagementEndpoint::Limits limits;
   bool ready = true;
   std::vector<std::pair<std::string, bool>> admin_changes;
-  std::unique_ptr<Management> endpoint;
+  std::unique_ptr<ManagementEndpoint> endpoint;
 };
 
 TEST_F(ManagementTest, AnswersAndThenClosesTheConnection) {
--- a/tests/net/validate_test.cpp
+++ b/tests/net/validate_test.cpp
@@ -20,8 +20,8 @@
   parser.put(asio::buffer(text), error);
   if (error && error != http::error::need_more) return 400;  // the library itself rejects it
   EXPECT_TRUE(parser.is_header_done()) << text;
-  const auto fault = CheckRequest(parser.get());
-  return fault ? static_cast<int>(fault->status) : 0;
+  const auto rejection = CheckRequest(parser.get());
+  return rejection ? static_cast<int>(rejection->status) : 0;
 }
 
 TEST(CheckRequest, AcceptsRequestsThatFollowTheProtocol) {
@@ -107,14 +107,14 @@
   EXPECT_TRUE(rejected(http::verb::post, Repeat::kNever, "k1"));
 }
 
-TEST(AcceptAnswer, AcceptsOnlyUnambiguousFramingWithinTheBodyLimit) {
+TEST(IsAcceptableResponse, AcceptsOnlyUnambiguousFramingWithinTheBodyLimit) {
   const auto accepted = [](unsigned status,
                            std::initializer_list<std::pair<http::field, const char*>> fields) {
     ResponseHeader header;
     header.version(11);
     header.result(status);
     for (const auto& [name, value] : fields) header.insert(name, value);
-    return AcceptAnswer(header);
+    return IsAcceptableResponse(header);
   };
   const auto length = http::field::content_length;
   const auto coding = http::field::transfer_encoding;
@@ -132,14 +132,14 @@
   EXPECT_FALSE(accepted(200, {{coding, "gzip"}}));
 }
 
-TEST(ReadLoad, LeavesFieldsEmptyThatItCannotParse) {
+TEST(ParseLoadHeader, LeavesFieldsEmptyThatItCannotParse) {
   const LoadReport load =
-      ReadLoad("TEXT busy_reqs=7,pending=2,  novel=9, cpu_share=, svc_ms=-1, nothing, =4");
+      ParseLoadHeader("TEXT busy_reqs=7,pending=2,  novel=9, cpu_share=, svc_ms=-1, nothing, =4");
   EXPECT_EQ(load.busy, 7.0);
   EXPECT_EQ(load.waiting, 2.0);
   EXPECT_FALSE(load.cpu || load.service_ms || load.served_per_s || load.failed_per_s);
   for (const char* text : {"", "TEXT", "TEXT ", "JSON pending=2", "pending=2", "TEXT pending", "TEXT ,,,="})
-    EXPECT_FALSE(ReadLoad(text).waiting) << text;
+    EXPECT_FALSE(ParseLoadHeader(text).waiting) << text;
 }
 
 }  // namespace
--- a/tests/scale/caller_test.cpp
+++ b/tests/scale/caller_test.cpp
@@ -106,7 +106,7 @@
   for (const HttpRequest* request : {&get, &post}) EXPECT_FALSE(net::CheckRequest(*request));
   EXPECT_FALSE(net::CheckAgainstClass(get, Repeat::kSafe));
   EXPECT_FALSE(net::CheckAgainstClass(post, Repeat::kDeduplicated));
-  EXPECT_EQ(net::ParseDecimal(net::View(get[net::kDeadlineHeader])), 0.48);
+  EXPECT_EQ(net::ParseDecimal(net::ToStringView(get[net::kDeadlineHeader])), 0.48);
   EXPECT_EQ(get[net::kTenantHeader], "acme");
   EXPECT_EQ(post.count(net::kTenantHeader), 0u);
   EXPECT_NE(get[net::kIdHeader], post[net::kIdHeader]);
--- a/tests/scale/server_stand_in_test.cpp
+++ b/tests/scale/server_stand_in_test.cpp
@@ -53,7 +53,7 @@
   EXPECT_EQ(answer.substr(0, 15), "HTTP/1.1 200 OK");
   const std::string name = "Srv-Load: ";
   const std::size_t at = answer.find(name) + name.size();
-  const LoadReport load = net::ReadLoad(answer.substr(at, answer.find("\r\n", at) - at));
+  const LoadReport load = net::ParseLoadHeader(answer.substr(at, answer.find("\r\n", at) - at));
   EXPECT_EQ(load.busy, 0);
   EXPECT_EQ(load.waiting, 0);
   ASSERT_TRUE(load.cpu.has_value());
