--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -9,8 +9,8 @@
 #include <set>
 #include <utility>
 
-#include "cold_scene.hpp"
 #include "harness.hpp"
+#include "slow_start_scenario.hpp"
 
 namespace merlinrun::testing {
 namespace {
@@ -1339,7 +1339,7 @@
     std::vector<int> late(kSidecars / siblings);  // by fleet: not ready in 10 s
     for (std::uint64_t sidecar = 0; sidecar < kSidecars; ++sidecar) {
       settings.rank = static_cast<std::uint32_t>(sidecar % siblings);
-      Dice fails(sidecar);
+      RandomSource random(sidecar);
       std::string error;
       now_ = 0;
       balancer_ = Balancer::Create(settings, sidecar, now_, sink_, error);
@@ -1349,7 +1349,7 @@
         ASSERT_EQ(ask.size(), 1u);
         ASSERT_EQ(ask[0].kind, Kind::kSubscribe);
         now_ += kCall;
-        ready = fails.Unit() >= 0.2;
+        ready = random.Uniform() >= 0.2;
         ListUpdate failed{ListUpdate::Kind::kFailed, 0, {}};
         failed.ask_within = kCall / 2;
         if (!ready) balancer_->OnServers(now_, failed);
