--- a/tests/deep_chain_test.cpp
+++ b/tests/deep_chain_test.cpp
@@ -1,5 +1,5 @@
-// Sidecars behind one another: each server calls the next service through a sidecar of its own, and what that
-// one refuses, its server turns away.
+// Tests a chain of services: each server calls the next service through its own sidecar, and answers with a
+// refusal when that sidecar refuses the call.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -13,14 +13,14 @@
 namespace merlinrun::testing {
 namespace {
 
-// A chain of balancers under a steady rate of calls, in simulated time.
-class DeepChain {
+// A chain of Balancers under a constant rate of calls, in simulated time.
+class ServiceChain {
  public:
-  DeepChain(std::size_t depth, std::uint64_t seed) {
+  ServiceChain(std::size_t depth, std::uint64_t seed) {
     for (std::size_t i = 0; i < depth; ++i) {
       hops_.push_back(std::make_unique<Hop>(*this, i));
       Settings settings = MakeSettings();
-      settings.max_attempts = 1;  // so that retries do not multiply along the chain
+      settings.max_attempts = 1;  // retries would multiply along the chain
       std::string error;
       hops_[i]->balancer = Balancer::Create(settings, seed + i, 0, *hops_[i], error);
       const std::vector<ServerInfo> servers = MakeServers(2);
@@ -28,11 +28,11 @@
     }
   }
 
-  // Calls so far apart arrive until then, to be answered by the last service after so long.
-  void Play(Micros until, Micros apart, Micros service) {
-    service_ = service;
-    for (Micros at = now_; at < until; at += apart)
-      Plan(at, {Event::kArrival, 0, "r" + std::to_string(calls_++)});
+  // Runs until `until`: a call arrives every `interval`, and the last service answers after `service_time`.
+  void Run(Micros until, Micros interval, Micros service_time) {
+    service_time_ = service_time;
+    for (Micros at = now_; at < until; at += interval)
+      Schedule(at, {Event::kArrival, 0, "r" + std::to_string(calls_++)});
     while (!events_.empty() && std::get<0>(events_.top()) < until) {
       const auto [at, order, event] = events_.top();
       events_.pop();
@@ -42,6 +42,7 @@
     now_ = until;
   }
 
+  // Returns and resets the number of calls answered with success.
   int TakeServed() { return std::exchange(served_, 0); }
 
  private:
@@ -54,37 +55,37 @@
   };
 
   struct Hop : ActionSink {
-    Hop(DeepChain& owner, std::size_t own) : chain(owner), number(own) {}
+    Hop(ServiceChain& owner, std::size_t index) : chain(owner), number(index) {}
     void Send(std::string_view request, const std::string&, Micros timeout) override {
       const std::string id(request);
       sent[id] = chain.now_;
-      if (timeout > 0) chain.Plan(chain.now_ + timeout, {Event::kOutcome, number, id, Result::kTimeout});
+      if (timeout > 0) chain.Schedule(chain.now_ + timeout, {Event::kOutcome, number, id, Result::kTimeout});
       if (number + 1 < chain.hops_.size()) {
-        chain.Plan(chain.now_, {Event::kArrival, number + 1, id});
+        chain.Schedule(chain.now_, {Event::kArrival, number + 1, id});
       } else {
-        chain.Plan(chain.now_ + chain.service_, {Event::kOutcome, number, id, Result::kSuccess});
+        chain.Schedule(chain.now_ + chain.service_time_, {Event::kOutcome, number, id, Result::kSuccess});
       }
     }
     void Cancel(std::string_view, int) override {}
-    void Refuse(std::string_view request, Micros) override { TellBack(request, Result::kRefused); }
-    void Fail(std::string_view request) override { TellBack(request, Result::kError); }
+    void Refuse(std::string_view request, Micros) override { ReportToCaller(request, Result::kRefused); }
+    void Fail(std::string_view request) override { ReportToCaller(request, Result::kError); }
     void SetTimer(Micros delay, std::uint64_t token) override {
-      chain.Plan(chain.now_ + delay, {Event::kTimer, number, {}, Result::kSuccess, token});
+      chain.Schedule(chain.now_ + delay, {Event::kTimer, number, {}, Result::kSuccess, token});
     }
     void Subscribe() override {}
     void Log(std::string_view) override {}
 
-    void TellBack(std::string_view request, Result result) const {
-      if (number > 0) chain.Plan(chain.now_, {Event::kOutcome, number - 1, std::string(request), result});
+    void ReportToCaller(std::string_view request, Result result) const {
+      if (number > 0) chain.Schedule(chain.now_, {Event::kOutcome, number - 1, std::string(request), result});
     }
 
-    DeepChain& chain;
+    ServiceChain& chain;
     const std::size_t number;
     std::unique_ptr<Balancer> balancer;
-    std::map<std::string, Micros> sent;  // attempts that are out
+    std::map<std::string, Micros> sent;  // by request, of the attempts in flight
   };
 
-  void Plan(Micros at, Event event) { events_.emplace(at, order_++, std::move(event)); }
+  void Schedule(Micros at, Event event) { events_.emplace(at, order_++, std::move(event)); }
 
   void Handle(const Event& event) {
     Hop& hop = *hops_[event.hop];
@@ -96,13 +97,13 @@
       return hop.balancer->OnRequest(now_, request);
     }
     const auto sent = hop.sent.find(event.request);
-    if (sent == hop.sent.end()) return;  // given up, or answered, before
+    if (sent == hop.sent.end()) return;  // already timed out or answered
     const Micros elapsed = now_ - sent->second;
     hop.sent.erase(sent);
     const bool served = event.result == Result::kSuccess;
     hop.balancer->OnOutcome(now_, {event.request, 0, event.result, elapsed, served});
     if (!served) return;
-    hop.TellBack(event.request, event.result);
+    hop.ReportToCaller(event.request, event.result);
     if (event.hop == 0) ++served_;
   }
 
@@ -118,24 +119,24 @@
       events_;
   std::uint64_t order_ = 0;
   Micros now_ = 0;
-  Micros service_ = 0;
+  Micros service_time_ = 0;
   int calls_ = 0;
   int served_ = 0;
 };
 
 class ChainDepth : public ::testing::TestWithParam<std::size_t> {};
 
-// Each refuses a part of what it gets, so that hardly anything reaches the last ones, which then never learn
-// that the stall is over.
-TEST_P(ChainDepth, ServesAgainAfterAStallAtItsEnd) {
+// During a stall of the last service every sidecar refuses a share of its calls. In a deep chain so few calls
+// then reach the last sidecars that they could fail to notice the end of the stall and go on refusing.
+TEST_P(ChainDepth, RecoversAfterTheLastServiceStalls) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    DeepChain chain(GetParam(), 100 * seed);
-    chain.Play(5 * kSec, 10 * kMs, 50 * kMs);
+    ServiceChain chain(GetParam(), 100 * seed);
+    chain.Run(5 * kSec, 10 * kMs, 50 * kMs);
     EXPECT_GT(chain.TakeServed(), 480) << seed;  // of 500
-    chain.Play(8 * kSec, 10 * kMs, 4 * kSec);
-    chain.Play(40 * kSec, 10 * kMs, 50 * kMs);
+    chain.Run(8 * kSec, 10 * kMs, 4 * kSec);
+    chain.Run(40 * kSec, 10 * kMs, 50 * kMs);
     chain.TakeServed();
-    chain.Play(50 * kSec, 10 * kMs, 50 * kMs);
+    chain.Run(50 * kSec, 10 * kMs, 50 * kMs);
     EXPECT_GT(chain.TakeServed(), 950) << seed;  // of 1,000
   }
 }
