--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,4 +1,5 @@
-// The module by failure met.
+// Unit tests of Balancer, one event at a time: attempts and repeats, order by key, slow start,
+// administratively down servers, learned state, admission, choice of servers, and when discovery is called.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,11 +18,11 @@
 
 using Kind = Action::Kind;
 
-// A balancer with servers, driven one event at a time.
+// A Balancer with a list of servers and a clock that the test sets.
 class BalancerTest : public ::testing::Test {
  protected:
-  // What was done since the last call. The alarm that follows each send, for its being late, is left out.
-  std::vector<Action> Took() {
+  // Takes the actions since the last call, without the timer that follows each send to detect a late answer.
+  std::vector<Action> TakeActions() {
     std::vector<Action> actions = sink_.Take();
     for (std::size_t i = 1; i < actions.size(); ++i)
       if (actions[i - 1].kind == Kind::kSend && actions[i].kind == Kind::kTimer)
@@ -50,16 +51,17 @@
   std::vector<Action> Arrive(const std::string& id, int request_class = 0, Micros budget = 5 * kSec,
                              const std::string& key = "") {
     Deliver(id, request_class, budget, key);
-    return Took();
+    return TakeActions();
   }
-  std::vector<Action> Resolve(const std::string& id, int attempt, Result result, bool settled = false) {
-    balancer_->OnOutcome(now_, {id, attempt, result, 10 * kMs, settled});
-    return Took();
+  std::vector<Action> Resolve(const std::string& id, int attempt, Result result,
+                              bool final_answer_sent = false) {
+    balancer_->OnOutcome(now_, {id, attempt, result, 10 * kMs, final_answer_sent});
+    return TakeActions();
   }
   std::vector<Action> Fire(const Action& timer) {
     now_ += timer.time;
     balancer_->OnTimer(now_, timer.token);
-    return Took();
+    return TakeActions();
   }
 
   Micros now_ = 100 * kSec;
@@ -67,7 +69,7 @@
   std::unique_ptr<Balancer> balancer_;
 };
 
-TEST_F(BalancerTest, SendsAtOnceAndForgetsWhatIsServed) {
+TEST_F(BalancerTest, SendsAtOnceAndDropsARequestOnceItIsServed) {
   Start(MakeSettings(), 20);
   const auto sent = Arrive("r1");
   ASSERT_EQ(sent.size(), 1u);
@@ -76,7 +78,7 @@
   EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
-TEST_F(BalancerTest, RefusalWaitsThenGoesToAnotherServer) {
+TEST_F(BalancerTest, ARefusedRequestIsRetriedOnAnotherServerAfterADelay) {
   Start(MakeSettings(), 20);
   const std::string first = Arrive("r1")[0].server;
   const auto wait = Resolve("r1", 0, Result::kRefused);
@@ -88,7 +90,7 @@
   EXPECT_NE(again[0].server, first);
 }
 
-TEST_F(BalancerTest, StopsAtTheAttemptLimitWithARetryAfter) {
+TEST_F(BalancerTest, RefusesWithARetryAfterOnceTheAttemptLimitIsReached) {
   Settings settings = MakeSettings();
   settings.max_attempts = 3;
   Start(settings, 20);
@@ -108,7 +110,7 @@
   EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
-TEST_F(BalancerTest, RefusesWhenTheWaitWouldOutrunTheTimeLeft) {
+TEST_F(BalancerTest, RefusesWhenTheRetryDelayExceedsTheBudget) {
   Start(MakeSettings(), 20);
   Arrive("r1", 0, 6 * kMs);
   now_ += 5 * kMs;
@@ -117,7 +119,7 @@
   EXPECT_EQ(end[0].kind, Kind::kRefuse);
 }
 
-TEST_F(BalancerTest, AnswersWhenThereIsNoServerAtAll) {
+TEST_F(BalancerTest, RefusesBeforeTheDeadlineWhenThereIsNoServer) {
   Start(MakeSettings(), 0);
   auto actions = Arrive("r1");
   while (actions.size() == 1 && actions[0].kind == Kind::kTimer) actions = Fire(actions[0]);
@@ -127,7 +129,7 @@
   EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
-TEST_F(BalancerTest, NeverRepeatsWhatMustNotRunTwice) {
+TEST_F(BalancerTest, RetriesAClassThatMustNotRepeatOnlyIfTheRequestDidNotRun) {
   for (const Result result : {Result::kReset, Result::kError, Result::kTimeout, Result::kCancelled}) {
     Start(MakeSettings(), 20);
     Arrive("r", 2);
@@ -141,8 +143,9 @@
   EXPECT_EQ(wait[0].kind, Kind::kTimer);
 }
 
-// Met on the first days of two deployments: 'full' was taken as proof where it is none.
-TEST_F(BalancerTest, ARefusalThatProvesNothingNeitherRepeatsNorRefuses) {
+// Some servers refuse requests that they have already begun. A refusal is no proof there that the request did
+// not run.
+TEST_F(BalancerTest, FailsARefusedRequestThatMayHaveRunAndMustNotRepeat) {
   Settings settings = MakeSettings();
   settings.refused_may_have_run = true;
   Start(settings, 20);
@@ -152,15 +155,17 @@
   EXPECT_EQ(end[0].kind, Kind::kFail);
 }
 
-// The window may hold no other server of the group: the retry reaches it outside.
-TEST_F(BalancerTest, ARepeatReachesItsGroupOutsideTheWindow) {
+// The window may hold no other server of the deduplication group. The retry then has to use one outside the
+// window.
+TEST_F(BalancerTest, ARetryReachesItsDedupGroupOutsideTheWindow) {
   Settings settings = MakeSettings();
   settings.refused_may_have_run = true;
   settings.classes[1].dedup_group = DedupGroup::kCell;
   auto servers = MakeServers(20);
   for (std::size_t i = 0; i < servers.size(); ++i) servers[i].cell = static_cast<std::int64_t>(i % 10);
   Start(settings, 0);
-  List(ListUpdate::Kind::kFull, servers);  // the cell's other server is 10 places on, the window 4 wide
+  List(ListUpdate::Kind::kFull,
+       servers);  // the other server of the cell is 10 places on, and the window holds 4
   const std::string first = Arrive("r", 1)[0].server;
   const auto wait = Resolve("r", 0, Result::kRefused);
   ASSERT_EQ(wait[0].kind, Kind::kTimer);
@@ -169,7 +174,7 @@
   EXPECT_EQ(std::abs(std::stoi(again[0].server.substr(1)) - std::stoi(first.substr(1))), 10);
 }
 
-TEST_F(BalancerTest, RequestsOfOneKeyGoOneAtATimeInOrder) {
+TEST_F(BalancerTest, RequestsOfOneKeyAreSentOneAtATimeInOrder) {
   Settings settings = MakeSettings();
   settings.classes[0].sequential = true;
   settings.settle_after_doubt = 300 * kMs;
@@ -183,7 +188,8 @@
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].kind, Kind::kSend);
   EXPECT_EQ(next[0].request, "b");
-  // The client of the one in turn leaves: its attempt may be running, and may go on after the reset.
+  // The client of the request in flight disconnects. Its attempt may be running and may go on after the
+  // reset.
   balancer_->OnClientDisconnected(now_, "b");
   EXPECT_TRUE(sink_.Take().empty());
   const auto settle = Resolve("b", 0, Result::kReset, true);
@@ -199,7 +205,7 @@
   EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
-TEST_F(BalancerTest, WhoWaitsForATurnIsAnsweredInTime) {
+TEST_F(BalancerTest, ARequestThatWaitsForItsKeyIsRefusedBeforeItsDeadline) {
   Settings settings = MakeSettings();
   settings.classes[2].sequential = true;
   Start(settings, 20);
@@ -213,7 +219,7 @@
   EXPECT_EQ(end[0].request, "b");
 }
 
-TEST_F(BalancerTest, RepeatsAKeyedRequestOnlyInItsGroupAndWindow) {
+TEST_F(BalancerTest, RepeatsADeduplicatedRequestOnlyInItsGroupAndWindow) {
   Start(MakeSettings(), 20);
   std::map<std::string, int> zone;
   for (const ServerInfo& info : MakeServers(20)) zone[info.id] = info.zone;
@@ -226,15 +232,16 @@
     const auto again = Fire(wait[0]);
     ASSERT_EQ(again[0].kind, Kind::kSend);
     EXPECT_EQ(zone[again[0].server], zone[sent[0].server]);
-    now_ += 3 * kSec;  // past the time that repeats are remembered for
+    now_ += 3 * kSec;  // past the deduplication window
     const auto end = Resolve(id, 1, Result::kReset);
     ASSERT_EQ(end.size(), 1u);
     EXPECT_EQ(end[0].kind, Kind::kFail);
   }
 }
 
-// What is sent may have to dial first: a repeat whose first byte could leave after the window is none.
-TEST_F(BalancerTest, RepeatsAKeyedRequestOnlyIfADialStillFitsTheWindow) {
+// A repeat may have to wait for a new connection. Servers drop only repeats that arrive within the
+// deduplication window, so one whose first byte could leave after it must not be sent.
+TEST_F(BalancerTest, RepeatsADeduplicatedRequestOnlyIfADialStillFitsTheWindow) {
   Settings settings = MakeSettings();
   settings.dial_timeout = 300 * kMs;
   for (const bool fits : {true, false}) {
@@ -249,7 +256,7 @@
   }
 }
 
-TEST_F(BalancerTest, SendsNothingToADrainingOrGoneServer) {
+TEST_F(BalancerTest, SendsNothingToADrainingOrRemovedServer) {
   Start(MakeSettings(), 4);
   Arrive("waits");
   const auto wait = Resolve("waits", 0, Result::kRefused);
@@ -268,41 +275,42 @@
   EXPECT_EQ(used, (std::set<std::string>{"s02", "s03"}));
 }
 
-// Met on an overloaded day: sends far above what servers could do, and a young server's share of them felled
-// it.
-TEST_F(BalancerTest, AYoungServerGetsItsShareOfWhatOthersServe) {
+// Under overload far more requests are sent than served. If a server in slow start got its share of the
+// requests sent, it would be overloaded; its share has to follow from the requests served.
+TEST_F(BalancerTest, AServerInSlowStartGetsAShareOfTheRequestsServedNotSent) {
   Start(MakeSettings(), 10);
   auto servers = MakeServers(10);
   servers[0].started = now_;
   List(ListUpdate::Kind::kDelta, {servers[0]});
-  int young = 0;
+  int in_slow_start = 0;
   int served = 0;
   for (int i = 0; i < 4000; ++i) {
     const std::string id = "r" + std::to_string(i);
     const auto sent = Arrive(id);
     if (sent.empty() || sent[0].kind != Kind::kSend) continue;
-    if (sent[0].server == "s00") ++young;
-    const bool serve = i % 4 == 0;  // of four sends one is served
+    if (sent[0].server == "s00") ++in_slow_start;
+    const bool serve = i % 4 == 0;  // one request in four is served
     served += serve;
     Resolve(id, 0, serve ? Result::kSuccess : Result::kError, serve);
   }
-  EXPECT_GT(young, 0);
-  // Half of what would push it over if those served were all that the three of the window can do.
-  EXPECT_LE(young, 1 + served / 3.0 * MakeSettings().slow_start_share * MakeSettings().overload_factor / 2);
+  EXPECT_GT(in_slow_start, 0);
+  // Half of the load that would overload it if the requests served were all that the three servers of the
+  // window can do.
+  EXPECT_LE(in_slow_start,
+            1 + served / 3.0 * MakeSettings().slow_start_share * MakeSettings().overload_factor / 2);
 }
 
-// Met when six in ten servers were replaced: others won the draws, credit was lost on them, and the newcomers
-// stood idle while the rest was overloaded.
-// Met on a day of bans and a release: those that stayed choked, little was served, and four newcomers of nine
-// servers stood idle for six seconds, as their credit came from what was served.
-TEST_F(BalancerTest, AYoungServerGetsItsShareWhenTheOthersChoke) {
+// When many servers are replaced at once, the remaining ones are overloaded and serve little. If slow start
+// credit depended only on requests served, or was lost whenever another server was chosen, the new servers
+// would stay idle for seconds meanwhile.
+TEST_F(BalancerTest, AServerInSlowStartGetsItsShareWhenTheOthersAreOverloaded) {
   Start(MakeSettings(), 3);
-  int asked = 0;
-  const auto play = [&](int count, Micros apart, const std::string& serves) {
+  int requests = 0;
+  const auto play = [&](int count, Micros interval, const std::string& serves) {
     int sent_there = 0;
     for (int i = 0; i < count; ++i) {
-      const std::string id = "r" + std::to_string(asked++);
-      now_ += apart;
+      const std::string id = "r" + std::to_string(requests++);
+      now_ += interval;
       const auto sent = Arrive(id);
       if (sent.empty() || sent[0].kind != Kind::kSend) continue;
       sent_there += sent[0].server == "s00";
@@ -311,90 +319,92 @@
     }
     return sent_there;
   };
-  play(3000, 10 * kMs, "");  // a hundred a second, all of them served
+  play(3000, 10 * kMs, "");  // a hundred requests per second, all served
   auto servers = MakeServers(3);
   servers[0].started = now_;
   List(ListUpdate::Kind::kDelta, {servers[0]});
-  const int young = play(400, 10 * kMs, "s00");
-  // Four seconds of a third of what is usual, at the share that it certainly can do, half of what fells it.
-  const double usual = 4 * 100 / 3.0 * MakeSettings().overload_factor / 2;
-  EXPECT_GT(young, 0.5 * usual * MakeSettings().slow_start_share);
-  EXPECT_LE(young, 1 + usual * (MakeSettings().slow_start_share + 1) / 2);
+  const int in_slow_start = play(400, 10 * kMs, "s00");
+  // A third of the normal traffic for four seconds, times half of the overload factor; the slow start share
+  // is applied below.
+  const double normal = 4 * 100 / 3.0 * MakeSettings().overload_factor / 2;
+  EXPECT_GT(in_slow_start, 0.5 * normal * MakeSettings().slow_start_share);
+  EXPECT_LE(in_slow_start, 1 + normal * (MakeSettings().slow_start_share + 1) / 2);
 }
 
-TEST_F(BalancerTest, AYoungServerTakesItsTurnByItsSize) {
-  const auto sent_to_young = [&](double weight) {
+TEST_F(BalancerTest, TheShareOfAServerInSlowStartFollowsItsWeight) {
+  const auto sent_to_starting = [&](double weight) {
     Start(MakeSettings(), 3);
     auto servers = MakeServers(3);
     servers[0].started = now_;
     servers[0].weight = weight;
     List(ListUpdate::Kind::kFull, servers);
-    int young = 0;
+    int in_slow_start = 0;
     for (int i = 0; i < 4000; ++i) {
       const std::string id = "r" + std::to_string(i);
       const auto sent = Arrive(id);
       EXPECT_EQ(sent[0].kind, Kind::kSend);
-      young += sent[0].server == "s00";
+      in_slow_start += sent[0].server == "s00";
       Resolve(id, 0, Result::kSuccess, true);
     }
-    return young;
+    return in_slow_start;
   };
   const double share = MakeSettings().slow_start_share * MakeSettings().overload_factor / 2;
-  EXPECT_NEAR(sent_to_young(1), 4000 / 3.0 * share, 100);
-  EXPECT_NEAR(sent_to_young(0.25), 4000 / 9.0 * share, 50);
+  EXPECT_NEAR(sent_to_starting(1), 4000 / 3.0 * share, 100);
+  EXPECT_NEAR(sent_to_starting(0.25), 4000 / 9.0 * share, 50);
 }
 
-// Out by hand: neither draws, the list nor a retry that waits bring a server anything.
-TEST_F(BalancerTest, AServerOutByHandGetsNothingUntilItIsPutBack) {
+// Neither the choice of a server, nor an update of the list, nor a pending retry may send it a request.
+TEST_F(BalancerTest, AnAdministrativelyDownServerGetsNothingUntilItIsPutBack) {
   Start(MakeSettings(), 3);
-  const auto send_many = [&](int from, const std::string& but) {
+  const auto send_many = [&](int from, const std::string& except) {
     for (int i = from; i < from + 100; ++i) {
       const std::string id = "r" + std::to_string(i);
       const auto sent = Arrive(id);
       ASSERT_EQ(sent.size(), 1u);
-      EXPECT_NE(sent[0].server, but);
+      EXPECT_NE(sent[0].server, except);
       Resolve(id, 0, Result::kSuccess, true);
     }
   };
   Deliver("w1");
-  const std::string first = Took()[0].server;
+  const std::string first = TakeActions()[0].server;
   const auto wait = Resolve("w1", 0, Result::kUnreachable);
-  const std::string out = first == "s00" ? "s01" : "s00";
-  balancer_->SetAdminDown(now_, out, true);
-  balancer_->SetAdminDown(now_, out, true);
-  EXPECT_EQ(balancer_->servers_avoided(now_), 2u);  // and the one that could not be reached
+  const std::string down = first == "s00" ? "s01" : "s00";
+  balancer_->SetAdminDown(now_, down, true);
+  balancer_->SetAdminDown(now_, down, true);
+  EXPECT_EQ(balancer_->servers_avoided(now_), 2u);  // the other one could not be reached
   const auto again = Fire(wait[0]);
   ASSERT_EQ(again.size(), 1u);
-  EXPECT_NE(again[0].server, out);
-  send_many(0, out);
+  EXPECT_NE(again[0].server, down);
+  send_many(0, down);
   List(ListUpdate::Kind::kFull, MakeServers(3));
-  send_many(100, out);
+  send_many(100, down);
   auto gone = MakeServers(3);
   for (auto& server : gone) server.state = ServerInfo::State::kGone;
   List(ListUpdate::Kind::kDelta, gone);
   List(ListUpdate::Kind::kFull, MakeServers(3));
-  send_many(200, out);
-  balancer_->SetAdminDown(now_, out, false);
-  balancer_->SetAdminDown(now_, out, false);
+  send_many(200, down);
+  balancer_->SetAdminDown(now_, down, false);
+  balancer_->SetAdminDown(now_, down, false);
   EXPECT_EQ(balancer_->servers_avoided(now_), 0u);
   now_ += MakeSettings().slow_start_duration;
   int back = 0;
   for (int i = 300; i < 400; ++i) {
     const std::string id = "r" + std::to_string(i);
-    back += Arrive(id)[0].server == out;
+    back += Arrive(id)[0].server == down;
     Resolve(id, 0, Result::kSuccess, true);
   }
   EXPECT_GT(back, 10);
 }
 
-// It was restarted meanwhile, and the list tells that late.
-TEST_F(BalancerTest, AServerPutBackCountsAsYoungUntilTheListTellsItsStart) {
-  const auto share = [&](bool told_long_ago) {
+// An operator may have restarted the server while it was administratively down, and the list may report that
+// late.
+TEST_F(BalancerTest, AServerPutBackIsInSlowStartUntilTheListStatesItsStart) {
+  const auto share = [&](bool listed_as_started_long_ago) {
     now_ = 100 * kSec;
     Start(MakeSettings(), 3);
     balancer_->SetAdminDown(now_, "s00", true);
     balancer_->SetAdminDown(now_, "s00", false);
-    if (told_long_ago) {
+    if (listed_as_started_long_ago) {
       auto servers = MakeServers(3);
       servers[0].started = now_ - 50 * kSec;
       List(ListUpdate::Kind::kDelta, {servers[0]});
@@ -407,14 +417,16 @@
     }
     return back;
   };
-  const double young = 300 / 3.0 * MakeSettings().slow_start_share * MakeSettings().overload_factor / 2;
+  const double in_slow_start =
+      300 / 3.0 * MakeSettings().slow_start_share * MakeSettings().overload_factor / 2;
   EXPECT_GT(share(false), 0);
-  EXPECT_LE(share(false), 1 + young);
-  EXPECT_GT(share(true), 1 + young);
+  EXPECT_LE(share(false), 1 + in_slow_start);
+  EXPECT_GT(share(true), 1 + in_slow_start);
 }
 
-// A body that comes in slowly is nobody's lateness: times run from its last byte.
-TEST_F(BalancerTest, APartialRequestIsTimedFromItsLastByte) {
+// A body that arrives slowly from the client must not count as a slow answer of the server: the latency
+// target and the budget start with its last byte.
+TEST_F(BalancerTest, ARequestWithAPendingBodyIsTimedFromItsLastByte) {
   Start(MakeSettings(), 3);
   Request request;
   request.id = "r1";
@@ -423,7 +435,7 @@
   request.body_pending = true;
   balancer_->OnRequest(now_, request);
   auto actions = sink_.Take();
-  ASSERT_EQ(actions.size(), 1u);  // and no alarm
+  ASSERT_EQ(actions.size(), 1u);  // and no timer
   EXPECT_EQ(actions[0].time, MakeSettings().classes[0].latency_target);
   now_ += 20 * kSec;
   balancer_->OnRequestBodyComplete(now_, "r1", 5 * kSec);
@@ -437,13 +449,13 @@
   EXPECT_EQ(wait[0].kind, Kind::kTimer);
 }
 
-TEST_F(BalancerTest, WhatIsNoLongerHeldIsNotSentAgain) {
+TEST_F(BalancerTest, ARequestWhoseBodyIsConsumedIsNotSentAgain) {
   Start(MakeSettings(), 3);
   Arrive("r1");
   Outcome outcome{"r1", 0, Result::kUnreachable, 10 * kMs};
   outcome.body_consumed = true;
   balancer_->OnOutcome(now_, outcome);
-  const auto end = Took();
+  const auto end = TakeActions();
   ASSERT_EQ(end.size(), 1u);
   EXPECT_EQ(end[0].kind, Kind::kRefuse);
   EXPECT_EQ(balancer_->pending_request_count(), 0u);
@@ -787,7 +799,7 @@
     request.budget = 5 * kSec;
     request.cost = cost;
     balancer_->OnRequest(now_, request);
-    return std::pair{id, Took()[0].server};
+    return std::pair{id, TakeActions()[0].server};
   };
   for (int i = 0; i < 400; ++i) {
     const auto [id, server] = arrive(50 * kMs);
@@ -830,7 +842,7 @@
       request.budget = 5 * kSec;
       request.cost = cost;
       balancer_->OnRequest(now_, request);
-      const Action action = Took()[0];
+      const Action action = TakeActions()[0];
       balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, 100 * kMs, true, {}});
       sink_.Take();
       return action;
