--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -282,31 +282,32 @@
   auto servers = MakeServers(10);
   servers[0].started = now_;
   List(ListUpdate::Kind::kDelta, {servers[0]});
-  int in_slow_start = 0;
+  int to_starting = 0;
   int served = 0;
   for (int i = 0; i < 4000; ++i) {
     const std::string id = "r" + std::to_string(i);
     const auto sent = Arrive(id);
     if (sent.empty() || sent[0].kind != Kind::kSend) continue;
-    if (sent[0].server == "s00") ++in_slow_start;
+    if (sent[0].server == "s00") ++to_starting;
     const bool serve = i % 4 == 0;  // one request in four is served
     served += serve;
     Resolve(id, 0, serve ? Result::kSuccess : Result::kError, serve);
   }
-  EXPECT_GT(in_slow_start, 0);
+  EXPECT_GT(to_starting, 0);
   // Half of the load that would overload it if the requests served were all that the three servers of the
   // window can do.
-  EXPECT_LE(in_slow_start,
+  EXPECT_LE(to_starting,
             1 + served / 3.0 * MakeSettings().slow_start_share * MakeSettings().overload_factor / 2);
 }
 
-// When many servers are replaced at once, the remaining ones are overloaded and serve little. If slow start
-// credit depended only on requests served, or was lost whenever another server was chosen, the new servers
-// would stay idle for seconds meanwhile.
+// When many servers restart at once (six in ten, for example), the remaining ones are overloaded and serve
+// little. If slow start credit came only from requests served, or was lost whenever another server was
+// chosen, the new servers would stay idle meanwhile: four new servers of nine got no requests for six
+// seconds.
 TEST_F(BalancerTest, AServerInSlowStartGetsItsShareWhenTheOthersAreOverloaded) {
   Start(MakeSettings(), 3);
   int requests = 0;
-  const auto play = [&](int count, Micros interval, const std::string& serves) {
+  const auto run = [&](int count, Micros interval, const std::string& healthy) {
     int sent_there = 0;
     for (int i = 0; i < count; ++i) {
       const std::string id = "r" + std::to_string(requests++);
@@ -314,21 +315,21 @@
       const auto sent = Arrive(id);
       if (sent.empty() || sent[0].kind != Kind::kSend) continue;
       sent_there += sent[0].server == "s00";
-      const bool served = serves.empty() || sent[0].server == serves;
+      const bool served = healthy.empty() || sent[0].server == healthy;
       Resolve(id, 0, served ? Result::kSuccess : Result::kTimeout, served);
     }
     return sent_there;
   };
-  play(3000, 10 * kMs, "");  // a hundred requests per second, all served
+  run(3000, 10 * kMs, "");  // a hundred requests per second, all served
   auto servers = MakeServers(3);
   servers[0].started = now_;
   List(ListUpdate::Kind::kDelta, {servers[0]});
-  const int in_slow_start = play(400, 10 * kMs, "s00");
+  const int to_starting = run(400, 10 * kMs, "s00");
   // A third of the normal traffic for four seconds, times half of the overload factor; the slow start share
   // is applied below.
   const double normal = 4 * 100 / 3.0 * MakeSettings().overload_factor / 2;
-  EXPECT_GT(in_slow_start, 0.5 * normal * MakeSettings().slow_start_share);
-  EXPECT_LE(in_slow_start, 1 + normal * (MakeSettings().slow_start_share + 1) / 2);
+  EXPECT_GT(to_starting, 0.5 * normal * MakeSettings().slow_start_share);
+  EXPECT_LE(to_starting, 1 + normal * (MakeSettings().slow_start_share + 1) / 2);
 }
 
 TEST_F(BalancerTest, TheShareOfAServerInSlowStartFollowsItsWeight) {
@@ -338,15 +339,15 @@
     servers[0].started = now_;
     servers[0].weight = weight;
     List(ListUpdate::Kind::kFull, servers);
-    int in_slow_start = 0;
+    int to_starting = 0;
     for (int i = 0; i < 4000; ++i) {
       const std::string id = "r" + std::to_string(i);
       const auto sent = Arrive(id);
       EXPECT_EQ(sent[0].kind, Kind::kSend);
-      in_slow_start += sent[0].server == "s00";
+      to_starting += sent[0].server == "s00";
       Resolve(id, 0, Result::kSuccess, true);
     }
-    return in_slow_start;
+    return to_starting;
   };
   const double share = MakeSettings().slow_start_share * MakeSettings().overload_factor / 2;
   EXPECT_NEAR(sent_to_starting(1), 4000 / 3.0 * share, 100);
@@ -417,11 +418,11 @@
     }
     return back;
   };
-  const double in_slow_start =
+  const double slow_start_limit =
       300 / 3.0 * MakeSettings().slow_start_share * MakeSettings().overload_factor / 2;
   EXPECT_GT(share(false), 0);
-  EXPECT_LE(share(false), 1 + in_slow_start);
-  EXPECT_GT(share(true), 1 + in_slow_start);
+  EXPECT_LE(share(false), 1 + slow_start_limit);
+  EXPECT_GT(share(true), 1 + slow_start_limit);
 }
 
 // A body that arrives slowly from the client must not count as a slow answer of the server: the latency
@@ -461,36 +462,36 @@
   EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
-// The next process knows from its first request on which server fails.
-TEST_F(BalancerTest, WhatWasLearntIsHandedOver) {
-  const auto failing = [&](int count) {
-    int there = 0;
+// A new process that restores the learned state avoids a failing server from its first request on.
+TEST_F(BalancerTest, LearnedStateIsHandedOverToTheNextProcess) {
+  const auto sent_to_failing = [&](int count) {
+    int sent_there = 0;
     for (int i = 0; i < count; ++i) {
       const std::string id = "r" + std::to_string(i);
       const auto sent = Arrive(id);
       if (sent.empty() || sent[0].kind != Kind::kSend) continue;
-      there += sent[0].server == "s00";
+      sent_there += sent[0].server == "s00";
       Resolve(id, 0, sent[0].server == "s00" ? Result::kError : Result::kSuccess, true);
     }
-    return there;
+    return sent_there;
   };
   Start(MakeSettings(), 3);
-  failing(500);
-  const std::string learnt = balancer_->ExportLearnedState();
-  int fresh = 0;
-  int told = 0;
+  sent_to_failing(500);
+  const std::string learned = balancer_->ExportLearnedState();
+  int without_state = 0;
+  int with_state = 0;
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
     Start(MakeSettings(), 3, seed);
-    fresh += failing(5);
+    without_state += sent_to_failing(5);
     Start(MakeSettings(), 3, seed);
-    EXPECT_TRUE(balancer_->RestoreLearnedState(now_, learnt));
-    told += failing(5);
+    EXPECT_TRUE(balancer_->RestoreLearnedState(now_, learned));
+    with_state += sent_to_failing(5);
   }
-  EXPECT_GT(fresh, 40);
-  EXPECT_LT(told, fresh / 2);
+  EXPECT_GT(without_state, 40);
+  EXPECT_LT(with_state, without_state / 2);
 }
 
-TEST_F(BalancerTest, WhatMakesNoSenseIsNotRecalled) {
+TEST_F(BalancerTest, InvalidLearnedStateIsRejectedAndChangesNothing) {
   Start(MakeSettings(), 3);
   const std::string before = balancer_->ExportLearnedState();
   const std::string torn = before.substr(0, before.size() - 2);
@@ -505,10 +506,10 @@
   EXPECT_EQ(balancer_->ExportLearnedState(), before);
 }
 
-// What was learnt under other classes, deadlines or tenants is another deployment's.
-TEST_F(BalancerTest, WhatWasLearntUnderOtherSettingsIsNotRecalled) {
+// Learned state from a configuration with other classes, deadlines or tenants does not apply.
+TEST_F(BalancerTest, LearnedStateOfOtherSettingsIsRejected) {
   Start(MakeSettings(), 3);
-  const std::string learnt = balancer_->ExportLearnedState();
+  const std::string learned = balancer_->ExportLearnedState();
   std::vector<Settings> others(4, MakeSettings());
   others[0].classes[1].name = "d";
   others[1].classes[2].deadline += 1;
@@ -517,15 +518,15 @@
   for (const Settings& other : others) {
     Start(other, 3);
     const std::string own = balancer_->ExportLearnedState();
-    EXPECT_FALSE(balancer_->RestoreLearnedState(now_, learnt));
+    EXPECT_FALSE(balancer_->RestoreLearnedState(now_, learned));
     EXPECT_EQ(balancer_->ExportLearnedState(), own);
   }
   Start(MakeSettings(), 3);
-  EXPECT_TRUE(balancer_->RestoreLearnedState(now_, learnt));
+  EXPECT_TRUE(balancer_->RestoreLearnedState(now_, learned));
 }
 
-// Two servers of which nobody knows the group are not of one.
-TEST_F(BalancerTest, AnUnknownGroupIsNobodys) {
+// Two servers whose zones or cells are unknown may not deduplicate each other's requests.
+TEST_F(BalancerTest, DoesNotRepeatARequestWhoseDedupGroupIsUnknown) {
   for (const auto group : {DedupGroup::kZone, DedupGroup::kCell}) {
     Settings settings = MakeSettings();
     settings.classes[1].dedup_group = group;
@@ -542,8 +543,9 @@
   }
 }
 
-// A sidecar that restarts knows nothing but its last list; many servers may be young in it at once.
-TEST_F(BalancerTest, ARestartedSidecarDoesNotRushAtYoungServers) {
+// A restarted sidecar has no statistics, only its last list, in which many servers may be in slow start at
+// once.
+TEST_F(BalancerTest, ARestartedSidecarDoesNotFloodServersInSlowStart) {
   auto servers = MakeServers(4);
   servers[0].started = servers[1].started = now_ - 100 * kMs;
   std::string error;
@@ -559,7 +561,7 @@
   EXPECT_GT(sent["s02"] + sent["s03"], 200);
 }
 
-TEST_F(BalancerTest, AmongYoungServersAloneChanceByShareDecides) {
+TEST_F(BalancerTest, SendsAShareOfTheRequestsWhenAllServersAreInSlowStart) {
   Start(MakeSettings(), 4);
   auto servers = MakeServers(4);
   for (auto& server : servers) server.started = now_;
@@ -569,8 +571,8 @@
   EXPECT_GT(sent, 100);
 }
 
-// Met on every overloaded day: all answers late, each retried by its client on top.
-TEST_F(BalancerTest, UnderPressureTheWorkOfLeastWorthIsRefusedFirst) {
+// If too much is admitted under overload, all answers are late and clients retry every request on top.
+TEST_F(BalancerTest, UnderOverloadTheRequestsOfLowestValueAreRefusedFirst) {
   Settings settings = MakeSettings();
   settings.classes[3].value = 10;
   Start(settings, 10);
@@ -584,13 +586,13 @@
       ++refused[request_class];
       continue;
     }
-    // Answers take the shorter the fewer are let in: half the load is what the servers can carry.
+    // The servers can carry half the load: answers are fast if more than that is refused, and slow otherwise.
     const Micros elapsed = refused[0] * 2 < i / 2 ? 900 * kMs : 200 * kMs;
     balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, elapsed, true});
   }
   EXPECT_GT(refused[0], 100);
   EXPECT_LT(refused[3], refused[0] / 5);
-  // The pressure gone, all is let in again.
+  // After the overload, everything is admitted again.
   for (int i = 0; i < 400; ++i) {
     const std::string id = "q" + std::to_string(i);
     if (Arrive(id)[0].kind == Kind::kSend)
@@ -599,8 +601,9 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(Arrive("z" + std::to_string(i))[0].kind, Kind::kSend);
 }
 
-// Met on a quiet day: cheap work was refused all day where idle servers take a fifth of the aim.
-TEST_F(BalancerTest, WhatIdleServersTakeIsNoPressure) {
+// Idle servers may already need a fifth of the latency target. Taking that for overload would refuse the
+// requests of low value all day on an idle fleet.
+TEST_F(BalancerTest, TheLatencyOfIdleServersIsNoOverloadSignal) {
   Settings settings = MakeSettings();
   settings.classes[3].value = 10;
   Start(settings, 10);
@@ -616,8 +619,8 @@
   EXPECT_LT(refused, 4);
 }
 
-// Met on another: one heavy request made a quiet sidecar refuse the next ones.
-TEST_F(BalancerTest, OneLateAnswerRefusesNobody) {
+// On a sidecar with little traffic, a single heavy request must not cause the refusal of the next ones.
+TEST_F(BalancerTest, ASingleLateAnswerCausesNoRefusals) {
   Start(MakeSettings(), 10);
   for (int i = 0; i < 50; ++i) {
     const std::string id = "r" + std::to_string(i);
@@ -626,17 +629,18 @@
   }
 }
 
-// Met in a site that pays for each crossing: two thirds of the requests crossed zones for nothing.
-TEST_F(BalancerTest, OwnZoneFirstWhereCrossingIsPricedAndSpillsUnderPressure) {
+// Where requests to other zones cost money, a choice that ignored the cost would send two thirds of the
+// requests to another zone for no benefit.
+TEST_F(BalancerTest, PrefersTheOwnZoneWhereCrossingCostsAndSpillsOverUnderOverload) {
   Settings settings = MakeSettings();
   settings.zone = 0;
   settings.cost_cross_zone = 0.2;
-  settings.classes[0].value = 0.1;  // less than a crossing costs, the mean being near 1
+  settings.classes[0].value = 0.1;  // less than a request to another zone costs; the mean value is near 1
   Start(settings, 20);
   std::map<std::string, int> zone;
   for (const ServerInfo& info : MakeServers(20)) zone[info.id] = info.zone;
-  int home = 0;
-  int away = 0;
+  int own_zone = 0;
+  int other_zone = 0;
   for (int i = 0; i < 600; ++i) {
     const std::string id = "r" + std::to_string(i);
     const int request_class = i % 6 == 0 ? 0 : 2;
@@ -646,18 +650,19 @@
     if (i < 100) {
       EXPECT_FALSE(crossed);
     } else if (crossed) {
-      EXPECT_NE(request_class, 0) << "not worth the price";
+      EXPECT_NE(request_class, 0) << "worth less than the crossing";
     }
-    ++(crossed ? away : home);
-    const Micros elapsed = !crossed && i >= 100 ? 2000 * kMs : 50 * kMs;  // home gets into trouble
+    ++(crossed ? other_zone : own_zone);
+    const Micros elapsed = !crossed && i >= 100 ? 2000 * kMs : 50 * kMs;  // the own zone becomes slow
     balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, elapsed, true});
   }
-  EXPECT_GT(home, 100);
-  EXPECT_GT(away, 200);
+  EXPECT_GT(own_zone, 100);
+  EXPECT_GT(other_zone, 200);
 }
 
-// Met on throttle days: some servers turn away one class above a rate, with room for the others.
-TEST_F(BalancerTest, ARefusalOfOneClassSaysNothingOfTheServerForOthers) {
+// Some servers limit the rate of one class and refuse what exceeds it, while they have capacity for other
+// classes.
+TEST_F(BalancerTest, ARefusalOfOneClassDoesNotAffectOtherClassesOnTheServer) {
   Start(MakeSettings(), 4);
   int refused = 0;
   int others = 0;
@@ -676,13 +681,13 @@
       Resolve(id, 0, Result::kSuccess, true);
     }
   }
-  EXPECT_LT(refused, 25);  // 100 if nothing were learnt
-  EXPECT_GT(refused, 2);   // its end would be noticed
-  EXPECT_GT(others, 60);   // 100 of the other class in the mean
+  EXPECT_LT(refused, 25);  // 100 without learning
+  EXPECT_GT(refused, 2);   // the end of the limit would be noticed
+  EXPECT_GT(others, 60);   // 100 of the other class are expected
 }
 
-// Met where order binds: the key of a client that had left stayed taken until its attempt timed out.
-TEST_F(BalancerTest, CallsOffWhatIsOutOfAFinishedRequest) {
+// Without the cancellation, the key of a disconnected client would stay in use until the attempt timed out.
+TEST_F(BalancerTest, CancelsTheAttemptOfADisconnectedClient) {
   Settings settings = MakeSettings();
   settings.cancel = true;
   Start(settings, 4);
@@ -692,13 +697,13 @@
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kCancel);
   balancer_->OnClientDisconnected(now_, "r1");
-  EXPECT_TRUE(sink_.Take().empty());  // once
+  EXPECT_TRUE(sink_.Take().empty());  // cancelled only once
   EXPECT_TRUE(Resolve("r1", 0, Result::kCancelled, true).empty());
   EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
-// Met after crashes: the list names a dead server for seconds, and each attempt there is lost.
-TEST_F(BalancerTest, ADeadServerIsLeftAloneForAWaitThatDoubles) {
+// After a crash the list still contains the dead server for seconds, and every attempt there is lost.
+TEST_F(BalancerTest, ADeadServerIsEjectedWithExponentialBackoff) {
   Start(MakeSettings(), 4);
   int tried = 0;
   for (int i = 0; i < 400; ++i) {
@@ -713,10 +718,10 @@
       Resolve(id, 0, Result::kSuccess, true);
     }
   }
-  EXPECT_LT(tried, 25);  // 100 without the wait
+  EXPECT_LT(tried, 25);  // 100 without ejection
   EXPECT_GT(tried, 2);
   int back = 0;
-  for (int i = 0; i < 4000; ++i) {  // it lives again: one trial ends the wait
+  for (int i = 0; i < 4000; ++i) {  // the server is back: one success ends the ejection
     now_ += 50 * kMs;
     const std::string id = "q" + std::to_string(i);
     back += Arrive(id)[0].server == "s01";
@@ -725,18 +730,18 @@
   EXPECT_GT(back, 100);
 }
 
-TEST_F(BalancerTest, ATroubleThatAllShareDoesNotEmptyTheWindow) {
+TEST_F(BalancerTest, AFailureOfAllServersDoesNotEmptyTheWindow) {
   Start(MakeSettings(), 4);
   for (int i = 0; i < 100; ++i) {
     now_ += 10 * kMs;
     const std::string id = "r" + std::to_string(i);
     const auto actions = Arrive(id, 2);
     ASSERT_EQ(actions[0].kind, Kind::kSend);
-    Resolve(id, 0, Result::kReset);  // fails at once: says nothing of load
+    Resolve(id, 0, Result::kReset);  // fails at once, which is no sign of load
   }
 }
 
-TEST_F(BalancerTest, TimesOutAtTheAimOnlyWhereALateAnswerIsWorthNothing) {
+TEST_F(BalancerTest, TimesOutAtTheLatencyTargetOnlyIfALateAnswerHasNoValue) {
   Settings settings = MakeSettings();
   settings.classes[3].late_value = 0.25;
   Start(settings, 4);
@@ -744,8 +749,9 @@
   EXPECT_EQ(Arrive("r2", 3)[0].time, 0);
 }
 
-// Met in a large fleet: small servers stood in as many windows as large ones, and were sent as much.
-TEST_F(BalancerTest, ASmallServerIsDrawnBySize) {
+// In a large fleet small servers are in as many windows as large ones. Without weights they would get as many
+// requests.
+TEST_F(BalancerTest, AServerIsChosenInProportionToItsWeight) {
   Start(MakeSettings(), 3);
   auto servers = MakeServers(3);
   servers[1].weight = servers[2].weight = 4;
@@ -760,8 +766,9 @@
   EXPECT_LT(small, 500);
 }
 
-// Met in a large fleet: a sidecar meets each server seldom, and each new one had to be found slow by itself.
-TEST_F(BalancerTest, WhatItsKindOfMachineTookTellsOfAServerNeverMet) {
+// In a large fleet a sidecar sends little to each server. Without statistics by machine type it would have to
+// learn anew for each server that it is slow.
+TEST_F(BalancerTest, ANewServerIsJudgedByTheLatencyOfItsMachineType) {
   Start(MakeSettings(), 3);
   const auto list = [&](int first) {
     std::vector<ServerInfo> servers = MakeServers(first + 3);
@@ -787,8 +794,8 @@
   EXPECT_LT(sent_to_kind_1(300, "s10", Result::kCancelled), 60);
 }
 
-// A dear request waits for a slow core longest; its hint tells.
-TEST_F(BalancerTest, ADearRequestGoesToTheFasterServerEvenIfItIsTheBusier) {
+// An expensive request, known by its cost hint, loses more time on a slow server than in a queue.
+TEST_F(BalancerTest, AnExpensiveRequestGoesToTheFasterServerEvenIfThatIsBusier) {
   Start(MakeSettings(), 2);
   int round = 0;
   const auto arrive = [&](Micros cost) {
@@ -805,14 +812,14 @@
     const auto [id, server] = arrive(50 * kMs);
     balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, (server == "s00" ? 200 : 100) * kMs, true, {}});
   }
-  bool out = false;  // one stays out at s01
-  for (int i = 0; i < 50 && !out; ++i) {
+  bool at_s01 = false;  // one request stays in flight at s01
+  for (int i = 0; i < 50 && !at_s01; ++i) {
     const auto [id, server] = arrive(50 * kMs);
-    out = server == "s01";
-    if (!out) balancer_->OnOutcome(now_, {id, 0, Result::kCancelled, 0, false, {}});
+    at_s01 = server == "s01";
+    if (!at_s01) balancer_->OnOutcome(now_, {id, 0, Result::kCancelled, 0, false, {}});
     sink_.Take();
   }
-  ASSERT_TRUE(out);
+  ASSERT_TRUE(at_s01);
   const auto to_s01 = [&](Micros cost) {
     int n = 0;
     for (int i = 0; i < 20; ++i) {
@@ -827,12 +834,12 @@
   EXPECT_LT(to_s01(5 * kMs), 14);
 }
 
-// Met on every day of a large fleet: a good part of the work was too much for any server within the aim, was
-// tried there all the same and thrown away.
-TEST_F(BalancerTest, WorkThatNoServerDoesInTimeIsRefusedAtOnceWhereWasteIsPriced) {
+// A request that is too expensive for every server to answer within the latency target would be sent
+// nevertheless and its work thrown away. In a large fleet that was a large share of all work.
+TEST_F(BalancerTest, AnInfeasibleRequestIsRefusedAtOnceWhereWasteHasACost) {
   Settings settings = MakeSettings();
-  for (const double price : {0.0, 0.3}) {
-    settings.cost_waste = price;
+  for (const double cost_waste : {0.0, 0.3}) {
+    settings.cost_waste = cost_waste;
     Start(settings, 3);
     int round = 0;
     const auto arrive = [&](Micros cost) {
@@ -848,14 +855,14 @@
       return action;
     };
     for (int i = 0; i < 50; ++i) EXPECT_EQ(arrive(10 * kMs).kind, Kind::kSend);
-    EXPECT_EQ(arrive(100 * kMs).kind, Kind::kSend);  // about the aim: still worth a try
-    const Action dear = arrive(1000 * kMs);          // ten times that
-    EXPECT_EQ(dear.kind, price > 0 ? Kind::kRefuse : Kind::kSend);
-    EXPECT_GT(dear.time, 0);  // when to come back, or the time there is for the attempt
+    EXPECT_EQ(arrive(100 * kMs).kind, Kind::kSend);  // about the latency target: still sent
+    const Action infeasible = arrive(1000 * kMs);    // ten times that
+    EXPECT_EQ(infeasible.kind, cost_waste > 0 ? Kind::kRefuse : Kind::kSend);
+    EXPECT_GT(infeasible.time, 0);  // the retry-after, or the timeout of the attempt
   }
 }
 
-TEST_F(BalancerTest, ABusySidecarTakesALongerRunOfTheRing) {
+TEST_F(BalancerTest, ABusySidecarHasALargerWindow) {
   Settings settings = MakeSettings();
   settings.cost_connection = 0.05;
   Start(settings, 40);
@@ -867,35 +874,37 @@
   EXPECT_LE(used.size(), 31u);
 }
 
-// Met on calm stretches with servers of one core: hot sidecars choked the few servers of their windows.
-TEST_F(BalancerTest, WhereConnectionsCostNothingItTakesOneForEachAttemptOut) {
+// With servers of one core, a sidecar with much traffic would overload the few servers of a window of fixed
+// size.
+TEST_F(BalancerTest, UsesAServerPerAttemptInFlightWhereConnectionsCostNothing) {
   Start(MakeSettings(), 40);
   std::set<std::string> used;
   for (int i = 0; i < 20; ++i) used.insert(Arrive("r" + std::to_string(i))[0].server);
   EXPECT_GT(used.size(), 8u);
 }
 
-// Met in three incidents: the overload was heard of only when the answers came, seconds after they were late.
-TEST_F(BalancerTest, WhatIsOutPastItsAimIsPressureAtOnce) {
+// Late answers arrive seconds after they became late. Waiting for them would delay the reaction to an
+// overload, as in three incidents, so an attempt counts as late as soon as it exceeds the latency target.
+TEST_F(BalancerTest, AnAttemptInFlightPastItsLatencyTargetIsAnOverloadSignalAtOnce) {
   Settings settings = MakeSettings();
   settings.classes[2].late_value = 0.5;
   Start(settings, 10);
-  std::vector<std::uint64_t> alarms;
+  std::vector<std::uint64_t> late_timers;
   for (int i = 0; i < 12; ++i) {
     Deliver("r" + std::to_string(i), 2);
     for (const Action& action : sink_.Take())
       if (action.kind == Kind::kTimer) {
         EXPECT_EQ(action.time, settings.classes[2].latency_target);
-        alarms.push_back(action.token);
+        late_timers.push_back(action.token);
       }
   }
-  ASSERT_EQ(alarms.size(), 12u);
+  ASSERT_EQ(late_timers.size(), 12u);
   now_ += settings.classes[2].latency_target;
-  for (const std::uint64_t token : alarms) {
+  for (const std::uint64_t token : late_timers) {
     balancer_->OnTimer(now_, token);
-    balancer_->OnTimer(now_, token);  // once
+    balancer_->OnTimer(now_, token);  // counted only once
   }
-  EXPECT_TRUE(sink_.Take().empty());  // the attempts themselves go on
+  EXPECT_TRUE(sink_.Take().empty());  // the attempts themselves continue
   int refused = 0;
   for (int i = 0; i < 20; ++i) refused += Arrive("q" + std::to_string(i), 2)[0].kind == Kind::kRefuse;
   EXPECT_GT(refused, 10);  // none of the twelve has been answered yet
