--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -164,8 +164,8 @@
   auto servers = MakeServers(20);
   for (std::size_t i = 0; i < servers.size(); ++i) servers[i].cell = static_cast<std::int64_t>(i % 10);
   Start(settings, 0);
-  List(ListUpdate::Kind::kFull,
-       servers);  // the other server of the cell is 10 places on, and the window holds 4
+  // The other server of the cell is 10 places on, and the window holds 4.
+  List(ListUpdate::Kind::kFull, servers);
   const std::string first = Arrive("r", 1)[0].server;
   const auto wait = Resolve("r", 0, Result::kRefused);
   ASSERT_EQ(wait[0].kind, Kind::kTimer);
@@ -561,7 +561,8 @@
   EXPECT_GT(sent["s02"] + sent["s03"], 200);
 }
 
-TEST_F(BalancerTest, SendsAShareOfTheRequestsWhenAllServersAreInSlowStart) {
+// The choice is then random, in proportion to the shares of the servers.
+TEST_F(BalancerTest, KeepsSendingWhenAllServersAreInSlowStart) {
   Start(MakeSettings(), 4);
   auto servers = MakeServers(4);
   for (auto& server : servers) server.started = now_;
@@ -686,7 +687,8 @@
   EXPECT_GT(others, 60);   // 100 of the other class are expected
 }
 
-// Without the cancellation, the key of a disconnected client would stay in use until the attempt timed out.
+// Where requests of one key are sequential, the key of a disconnected client would otherwise stay in use
+// until the attempt timed out.
 TEST_F(BalancerTest, CancelsTheAttemptOfADisconnectedClient) {
   Settings settings = MakeSettings();
   settings.cancel = true;
@@ -705,21 +707,21 @@
 // After a crash the list still contains the dead server for seconds, and every attempt there is lost.
 TEST_F(BalancerTest, ADeadServerIsEjectedWithExponentialBackoff) {
   Start(MakeSettings(), 4);
-  int tried = 0;
+  int attempts_there = 0;
   for (int i = 0; i < 400; ++i) {
     now_ += 50 * kMs;
     const std::string id = "r" + std::to_string(i);
     const std::string server = Arrive(id)[0].server;
     if (server == "s01") {
-      ++tried;
+      ++attempts_there;
       Resolve(id, 0, Result::kUnreachable);
       balancer_->OnClientDisconnected(now_, id);
     } else {
       Resolve(id, 0, Result::kSuccess, true);
     }
   }
-  EXPECT_LT(tried, 25);  // 100 without ejection
-  EXPECT_GT(tried, 2);
+  EXPECT_LT(attempts_there, 25);  // 100 without ejection
+  EXPECT_GT(attempts_there, 2);
   int back = 0;
   for (int i = 0; i < 4000; ++i) {  // the server is back: one success ends the ejection
     now_ += 50 * kMs;
@@ -910,8 +912,9 @@
   EXPECT_GT(refused, 10);  // none of the twelve has been answered yet
 }
 
-// Met in six incidents: servers were overdriven within seconds, before admission had fallen.
-TEST_F(BalancerTest, LatenessInARowShedsFasterThanTheSameAmongGoodAnswers) {
+// Servers can be overloaded within seconds, before admission has fallen, as in six incidents. Consecutive
+// late answers therefore have to lower it faster.
+TEST_F(BalancerTest, ConsecutiveLateAnswersLowerAdmissionFasterThanScatteredOnes) {
   std::map<bool, int> sent;
   for (const bool in_a_row : {false, true}) {
     Start(MakeSettings(), 10);
@@ -927,8 +930,9 @@
   EXPECT_LT(sent[true], 30);
 }
 
-// Met in incidents with servers that must rest: a lucky answer at the floor opened the sidecar fully.
-TEST_F(BalancerTest, OneGoodAnswerDoesNotEndDeepShedding) {
+// When nearly everything is refused, a single fast answer proves little. Admitting everything after it would
+// overload servers that still have to recover.
+TEST_F(BalancerTest, OneFastAnswerDoesNotRestoreFullAdmission) {
   Start(MakeSettings(), 10);
   for (int i = 0; i < 300; ++i) {
     const std::string id = "r" + std::to_string(i);
@@ -947,36 +951,38 @@
   EXPECT_LT(sent, 70);
 }
 
-// Met on slow and ageing days: a server that answers in the end went on getting its share at once.
-TEST_F(BalancerTest, AServerWhereARequestOutlivesItsAimIsLeftAloneThenTriedOneAtATime) {
+// A server that becomes slow but still answers late would otherwise keep getting its full share at once.
+TEST_F(BalancerTest, AServerThatExceedsTheLatencyTargetIsEjectedThenTriedOneRequestAtATime) {
   Settings settings = MakeSettings();
   settings.classes[0].late_value = 0.5;
   Start(settings, 3);
   std::string id;
-  std::uint64_t alarm = 0;
-  for (int i = 0; alarm == 0; ++i) {
+  std::uint64_t late_timer = 0;
+  for (int i = 0; late_timer == 0; ++i) {
     id = "r" + std::to_string(i);
     Deliver(id);
     const auto actions = sink_.Take();
-    if (actions[0].server == "s01") alarm = actions[1].token;
-    if (alarm == 0) Resolve(id, 0, Result::kSuccess, true);
+    if (actions[0].server == "s01") late_timer = actions[1].token;
+    if (late_timer == 0) Resolve(id, 0, Result::kSuccess, true);
   }
-  balancer_->OnTimer(now_ += 1 * kSec, alarm);
-  const auto out_at = [&](const std::string& server, const std::string& prefix) {
+  balancer_->OnTimer(now_ += 1 * kSec, late_timer);
+  const auto count_at = [&](const std::string& server, const std::string& prefix) {
     int n = 0;
     for (int i = 0; i < 40; ++i) n += Arrive(prefix + std::to_string(i))[0].server == server;
     return n;
   };
-  balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, 1100 * kMs, true, {}});  // late: forgives nothing
-  EXPECT_EQ(out_at("s01", "a"), 0);
-  now_ += 500 * kMs;  // its wait is over
-  EXPECT_EQ(out_at("s01", "b"), 1);
+  // A late answer does not end the ejection.
+  balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, 1100 * kMs, true, {}});
+  EXPECT_EQ(count_at("s01", "a"), 0);
+  now_ += 500 * kMs;  // the ejection ends
+  EXPECT_EQ(count_at("s01", "b"), 1);
 }
 
-// How many of the last 100 requests are let in when answers take `then` ms after having taken `idle` ms.
+// Counts how many of the last 100 requests are admitted when answers take `then` ms after having taken `idle`
+// ms.
 class AdmissionTarget : public BalancerTest {
  protected:
-  int LetIn(Settings::Reports reports, int idle, int then) {
+  int CountAdmitted(Settings::Reports reports, int idle, int then) {
     Settings settings = MakeSettings();
     settings.reports = reports;
     Start(settings, 10);
@@ -991,19 +997,20 @@
   }
 };
 
-TEST_F(AdmissionTarget, IsHigherWhereServersReportTheirLoad) {
-  EXPECT_EQ(LetIn(Settings::Reports::kInAnswers, 200, 350), 100);
-  EXPECT_LT(LetIn(Settings::Reports::kNone, 150, 350), 60);
+TEST_F(AdmissionTarget, IsHigherIfServersReportTheirLoad) {
+  EXPECT_EQ(CountAdmitted(Settings::Reports::kInAnswers, 200, 350), 100);
+  EXPECT_LT(CountAdmitted(Settings::Reports::kNone, 150, 350), 60);
 }
 
-TEST_F(AdmissionTarget, StaysNearWhatIdleServersTake) {
-  EXPECT_LT(LetIn(Settings::Reports::kInAnswers, 50, 400), 60);
-  EXPECT_EQ(LetIn(Settings::Reports::kInAnswers, 250, 400), 100);
+TEST_F(AdmissionTarget, StaysNearTheLatencyOfIdleServers) {
+  EXPECT_LT(CountAdmitted(Settings::Reports::kInAnswers, 50, 400), 60);
+  EXPECT_EQ(CountAdmitted(Settings::Reports::kInAnswers, 250, 400), 100);
 }
 
-// Met on a rough network: two in five requests were refused while no server had half of its cores at work.
-TEST_F(BalancerTest, SlowAnswersOfServersThatReportIdleCoresAreNoPressure) {
-  const auto let_in = [&](double cpu) {
+// On a network with losses, answers are slow although the servers are idle. Taking that for overload made a
+// sidecar refuse two in five requests while no server used half of its cores.
+TEST_F(BalancerTest, SlowAnswersOfServersThatReportIdleCoresAreNoOverloadSignal) {
+  const auto count_admitted = [&](double cpu) {
     Start(MakeSettings(), 10);
     int sent = 0;
     for (int i = 0; i < 300; ++i) {
@@ -1017,13 +1024,13 @@
     }
     return sent;
   };
-  EXPECT_EQ(let_in(0.5), 100);
-  EXPECT_LT(let_in(0.95), 60);
+  EXPECT_EQ(count_admitted(0.5), 100);
+  EXPECT_LT(count_admitted(0.95), 60);
 }
 
-// Met on a day with new configurations: servers that failed at once had the fewest attempts out and drew most
-// of the requests, a fifth of which ended in errors.
-TEST_F(BalancerTest, AServerThatFailsFastIsPassedOverAndTakenBackWhenItRecovers) {
+// A server that fails at once has the fewest attempts in flight and would get most of the requests. With
+// faulty configurations on some servers, a fifth of all requests ended in errors.
+TEST_F(BalancerTest, AServerThatFailsFastIsAvoidedAndUsedAgainWhenItRecovers) {
   Start(MakeSettings(), 2);
   bool broken = true;
   const auto served_by_s00 = [&](const std::string& round, int count) {
@@ -1046,9 +1053,9 @@
   EXPECT_GT(served_by_s00("d", 200), 60);
 }
 
-// Met after a release: five of nine servers failed one class alone, and served enough of the other to look
-// well.
-TEST_F(BalancerTest, AServerThatFailsOneClassIsPassedOverForThatClassAlone) {
+// After a faulty release a server may fail one class alone and serve the others well enough to look healthy,
+// as five of nine servers did once.
+TEST_F(BalancerTest, AServerThatFailsOneClassIsAvoidedForThatClassAlone) {
   Start(MakeSettings(), 3);
   const auto sent_to_s00 = [&](int request_class, const std::string& round) {
     int n = 0;
@@ -1065,12 +1072,13 @@
     }
     return n;
   };
-  EXPECT_LT(sent_to_s00(2, "a"), 16);  // of 100, a third of which are its own share
+  EXPECT_LT(sent_to_s00(2, "a"), 16);  // of 100; its equal share would be a third
   EXPECT_GT(sent_to_s00(0, "b"), 20);
 }
 
-// Met on a rough network: each server lost a tenth of its requests, and half of them were left alone all day.
-TEST_F(BalancerTest, AResetLeavesNoServerAloneThatServedWellWithinTheLastAim) {
+// On a network where each server lost a tenth of its requests, ejection after every reset kept half of the
+// servers ejected all day.
+TEST_F(BalancerTest, AResetDoesNotEjectAServerThatServedWithinTheLastLatencyTarget) {
   const auto sent_after_reset = [&](Micros quiet) {
     Start(MakeSettings(), 3);
     int round = 0;
@@ -1097,9 +1105,8 @@
   EXPECT_EQ(sent_after_reset(1100 * kMs), 0);
 }
 
-// Met on the same network: with the healthy servers left alone, keyed requests went to those that failed
-// them.
-TEST_F(BalancerTest, AServerThatIsLeftAloneIsTakenBeforeOneThatFailsTheClass) {
+// With all healthy servers ejected, the requests of a class would go to the servers that fail that class.
+TEST_F(BalancerTest, AnEjectedServerIsPreferredToOneThatFailsTheClass) {
   Start(MakeSettings(), 3);
   int round = 0;
   const auto arrive = [&](Result at_s02) {
@@ -1112,38 +1119,39 @@
   };
   for (int i = 0; i < 200; ++i) arrive(Result::kSuccess);
   now_ += 1100 * kMs;
-  while (!arrive(Result::kReset)) {  // it is left alone from here on
+  while (!arrive(Result::kReset)) {  // it is ejected from here on
   }
   int n = 0;
   for (int i = 0; i < 200; ++i) n += arrive(Result::kSuccess);
   EXPECT_GT(n, 100);
 }
 
-// Met where the network swallowed two in five requests to a third of the servers: what they did answer kept
-// them from being left alone.
-TEST_F(BalancerTest, AServerThatSwallowsAPartOfItsRequestsIsPassedOver) {
-  const auto sent_to_s00 = [&](Result sick) {
+// If the network loses a part of the requests to a server (two in five, for a third of the servers), the
+// answers to the others keep the server from being ejected. It has to get fewer requests nevertheless.
+TEST_F(BalancerTest, AServerThatLosesAPartOfItsRequestsIsAvoided) {
+  const auto sent_to_s00 = [&](Result failure) {
     Start(MakeSettings(), 3);
     LoadReport idle;
     idle.cpu = 0.3;
     int sent = 0;
     int counted = 0;
     for (int round = 0; round < 200; ++round) {
-      std::vector<std::pair<std::string, bool>> out;  // the requests of this round, and whether one is lost
+      // The requests of this round, and whether each is lost.
+      std::vector<std::pair<std::string, bool>> in_flight;
       for (int i = 0; i < 30; ++i) {
         const std::string id = std::to_string(round) + "-" + std::to_string(i);
         const auto actions = Arrive(id, 2);
         if (actions[0].kind != Kind::kSend) continue;
         const bool at_s00 = actions[0].server == "s00";
         counted += at_s00 && round >= 100;
-        out.emplace_back(id, at_s00 && ++sent % 5 < 2);
+        in_flight.emplace_back(id, at_s00 && ++sent % 5 < 2);
       }
       now_ += 50 * kMs;
-      for (const auto& [id, lost] : out)
+      for (const auto& [id, lost] : in_flight)
         if (!lost) balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, 50 * kMs, true, idle});
       now_ += 50 * kMs;
-      for (const auto& [id, lost] : out)
-        if (lost) balancer_->OnOutcome(now_, {id, 0, sick, 100 * kMs, sick == Result::kSuccess, idle});
+      for (const auto& [id, lost] : in_flight)
+        if (lost) balancer_->OnOutcome(now_, {id, 0, failure, 100 * kMs, failure == Result::kSuccess, idle});
       sink_.Take();
     }
     return counted;
@@ -1154,33 +1162,35 @@
   EXPECT_LT(sent_to_s00(Result::kReset), healthy * 4 / 10);
 }
 
-// Met at 300 requests a second: answers at a quarter of the aim, as busy servers give all day, made a sidecar
-// refuse a tenth of the cheap work. One with many attempts out sees an overload soon enough without that.
-TEST_F(BalancerTest, ABusySidecarLetsInWhatAQuietOneSheds) {
-  const auto let_in = [&](int out_at_once) {
+// Busy servers answer at a quarter of the latency target all day. At 300 requests per second that made a
+// sidecar refuse a tenth of the requests of low value. A sidecar with many attempts in flight notices a real
+// overload soon enough, so it can tolerate higher latency.
+TEST_F(BalancerTest, ABusySidecarAdmitsAtALatencyAtWhichAQuietOneRefuses) {
+  const auto count_admitted = [&](int in_flight_limit) {
     Start(MakeSettings(), 10);
     int sent = 0;
-    std::vector<std::string> out;
+    std::vector<std::string> in_flight;
     for (int i = 0; i < 600; ++i) {
       const std::string id = "r" + std::to_string(i);
       if (Arrive(id, 0)[0].kind == Kind::kSend) {
         sent += i >= 300;
-        out.push_back(id);
+        in_flight.push_back(id);
       }
-      if (static_cast<int>(out.size()) < out_at_once) continue;
-      balancer_->OnOutcome(now_, {out.front(), 0, Result::kSuccess, (i < 200 ? 150 : 295) * kMs, true, {}});
-      out.erase(out.begin());
+      if (static_cast<int>(in_flight.size()) < in_flight_limit) continue;
+      balancer_->OnOutcome(now_,
+                           {in_flight.front(), 0, Result::kSuccess, (i < 200 ? 150 : 295) * kMs, true, {}});
+      in_flight.erase(in_flight.begin());
     }
     return sent;
   };
-  EXPECT_EQ(let_in(60), 300);
-  EXPECT_LT(let_in(5), 285);
+  EXPECT_EQ(count_admitted(60), 300);
+  EXPECT_LT(count_admitted(5), 285);
 }
 
-// Met when half of the servers were drained at once: the rest choked before the answers of all that had been
-// let in came late.
-TEST_F(BalancerTest, LessIsLetInAtOnceWhenServersGo) {
-  const auto let_in = [&](int left) {
+// When half of the servers are drained at once, the rest would be overloaded before the first late answers
+// lowered admission.
+TEST_F(BalancerTest, AdmissionFallsAtOnceWhenServersAreRemoved) {
+  const auto count_admitted = [&](int left) {
     Settings settings = MakeSettings();
     settings.classes[3].value = 10;
     Start(settings, 8);
@@ -1195,12 +1205,13 @@
       sent += Arrive("b" + std::to_string(i), i % 2 == 0 ? 0 : 3)[0].kind == Kind::kSend;
     return sent;
   };
-  EXPECT_EQ(let_in(8), 200);
-  EXPECT_LT(let_in(4), 150);
+  EXPECT_EQ(count_admitted(8), 200);
+  EXPECT_LT(count_admitted(4), 150);
 }
 
-// A refusal of one class of several is a limit on it; of all, it is pressure.
-TEST_F(BalancerTest, RefusalsOfOneClassAreNoPressure) {
+// Refusals of one class among several mean a rate limit on that class. Only refusals of all classes mean
+// overload.
+TEST_F(BalancerTest, RefusalsOfOneClassAreNoOverloadSignal) {
   for (const bool all : {false, true}) {
     Start(MakeSettings(), 4, 9);
     int refused = 0;
@@ -1225,35 +1236,39 @@
   }
 }
 
-// Met in each overload: what clients had waited for past the aim was served before fresh requests.
-TEST_F(BalancerTest, UnderPressureFreshTriesGoBeforeThoseThatAreLateAlready) {
+// Under overload, requests whose clients have already waited longer than the latency target must not take
+// capacity from new requests, which can still be answered in time.
+TEST_F(BalancerTest, UnderOverloadRequestsThatAreNotYetLateAreAdmittedFirst) {
   Settings settings = MakeSettings();
   settings.classes[0].late_value = 0.25;
   Start(settings, 10);
-  int fresh = 0;
+  int in_time = 0;
   int late = 0;
   for (int i = 0; i < 900; ++i) {
     const std::string id = "r" + std::to_string(i);
-    // A try is given 3 s of the deadline of 5 s; one of 1 s has 4 s behind it, and the aim is 1 s.
+    // Clients give an attempt 3 s of the deadline of 5 s. With 1 s left the client has waited for 4 s
+    // already, longer than the latency target of 1 s.
     const bool is_late = i % 3 == 0;
     const auto actions = Arrive(id, 0, is_late && i > 3 ? 1 * kSec : 3 * kSec);
     if (actions[0].kind != Kind::kSend) continue;
-    ++(is_late ? late : fresh);
-    const Micros elapsed = (late + fresh) * 2 > i ? 900 * kMs : 100 * kMs;  // half the load can be carried
+    ++(is_late ? late : in_time);
+    // The servers can carry half the load.
+    const Micros elapsed = (late + in_time) * 2 > i ? 900 * kMs : 100 * kMs;
     balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, elapsed, true});
   }
-  EXPECT_GT(fresh, 250);
-  EXPECT_LT(late * 2, fresh / 2) << late << " late, " << fresh << " fresh";  // half as many late ones arrive
+  EXPECT_GT(in_time, 250);
+  // Half as many late requests arrive.
+  EXPECT_LT(late * 2, in_time / 2) << late << " late, " << in_time << " in time";
 }
 
-TEST_F(BalancerTest, PrefersTheServerWithFewerOwnAttemptsOut) {
+TEST_F(BalancerTest, PrefersTheServerWithFewerOfItsAttemptsInFlight) {
   Start(MakeSettings(), 2);
-  std::map<std::string, int> out;
-  for (int i = 0; i < 400; ++i) ++out[Arrive("r" + std::to_string(i))[0].server];
-  EXPECT_NEAR(out["s00"], 200, 20);
+  std::map<std::string, int> sent;
+  for (int i = 0; i < 400; ++i) ++sent[Arrive("r" + std::to_string(i))[0].server];
+  EXPECT_NEAR(sent["s00"], 200, 20);
 }
 
-TEST_F(BalancerTest, TheRanksTogetherCoverTheRing) {
+TEST_F(BalancerTest, TheWindowsOfAllRanksCoverTheServersEvenly) {
   std::map<std::string, int> hits;
   for (std::uint32_t rank = 0; rank < 40; ++rank) {
     Settings settings = MakeSettings();
@@ -1268,8 +1283,8 @@
   for (const auto& [server, n] : hits) EXPECT_EQ(n, hits["s00"]) << server;
 }
 
-// News that the process before it was told holds for the one that takes over.
-TEST_F(BalancerTest, OneThatTakesOverAsksAtOnce) {
+// Changes of the list that the previous process received take effect for the process that takes over from it.
+TEST_F(BalancerTest, AProcessThatTakesOverCallsDiscoveryAtOnce) {
   Settings settings = MakeSettings();
   settings.must_subscribe = true;
   settings.takes_over = true;
@@ -1282,12 +1297,12 @@
   EXPECT_EQ(actions[0].time, 0);
 }
 
-// A large fleet that loses discovery at once does not come back to it at once.
-TEST_F(BalancerTest, TheFirstRetryOfALargeFleetIsSpreadByItsSize) {
-  const auto most_wait = [&](std::uint32_t siblings) {
+// If a large fleet loses discovery, its sidecars must not all call it again at the same time.
+TEST_F(BalancerTest, TheFirstRetryOfDiscoveryIsSpreadByTheSizeOfTheFleet) {
+  const auto longest_wait = [&](std::uint32_t sidecar_count) {
     Settings settings = MakeSettings();
     settings.must_subscribe = true;
-    settings.sidecar_count = siblings;
+    settings.sidecar_count = sidecar_count;
     Micros most = 0;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
       std::string error;
@@ -1299,22 +1314,22 @@
     }
     return most;
   };
-  EXPECT_NEAR(static_cast<double>(most_wait(3)), 1 * kSec, 0.1 * kSec);
-  EXPECT_NEAR(static_cast<double>(most_wait(48)), 6 * kSec, 0.6 * kSec);
-  EXPECT_NEAR(static_cast<double>(most_wait(300)), 10 * kSec, 1 * kSec);  // no more than ask_within
+  EXPECT_NEAR(static_cast<double>(longest_wait(3)), 1 * kSec, 0.1 * kSec);
+  EXPECT_NEAR(static_cast<double>(longest_wait(48)), 6 * kSec, 0.6 * kSec);
+  EXPECT_NEAR(static_cast<double>(longest_wait(300)), 10 * kSec, 1 * kSec);  // no more than ask_within
 }
 
-// The wait after a failed call grows with the fleet, and ends where a change binds whatever the size. What a
-// fleet of 14,000 asks then: some 5,500 calls in the first second and 9,300 in any later one, if each is
-// refused at once; at 300, 120 and 200.
-TEST_F(BalancerTest, AFleetOfAnySizeAsksAgainBeforeAChangeBinds) {
+// The delay after a failed call grows with the size of the fleet, but never exceeds the time after which a
+// missed change takes effect. If every call is refused at once, a fleet of 14,000 makes about 5,500 calls in
+// the first second and 9,300 in every later one; a fleet of 300 makes 120 and 200.
+TEST_F(BalancerTest, AFleetOfAnySizeCallsDiscoveryAgainBeforeAMissedChangeTakesEffect) {
   constexpr Micros kWithin = 3 * kSec;
-  for (const std::uint32_t siblings : {3U, 300U, 14'000U}) {
+  for (const std::uint32_t sidecar_count : {3U, 300U, 14'000U}) {
     Settings settings = MakeSettings();
     settings.must_subscribe = true;
-    settings.sidecar_count = siblings;
-    std::map<Micros, int> asks_in_second;  // of the whole fleet, from the common failure on
-    for (std::uint32_t rank = 0; rank < siblings; ++rank) {
+    settings.sidecar_count = sidecar_count;
+    std::map<Micros, int> calls_in_second;  // calls of the whole fleet, by second since the common failure
+    for (std::uint32_t rank = 0; rank < sidecar_count; ++rank) {
       settings.rank = rank;
       std::string error;
       now_ = 0;
@@ -1331,35 +1346,35 @@
           ASSERT_LE(action.time, kWithin);
           Fire(action);
         }
-        ++asks_in_second[(now_ - failed_at) / kSec];
+        ++calls_in_second[(now_ - failed_at) / kSec];
       }
     }
     const auto share = [&](Micros second) {
-      return static_cast<double>(asks_in_second[second]) / static_cast<double>(siblings);
+      return static_cast<double>(calls_in_second[second]) / static_cast<double>(sidecar_count);
     };
-    if (siblings >= 300) {  // spread over all of the time: nobody comes back in one instant
-      const double chance = 3 / std::sqrt(siblings);
-      EXPECT_NEAR(share(0), std::exp(1.0 / 3) - 1, chance);  // renewals within a third of the longest wait
+    if (sidecar_count >= 300) {  // spread over the whole period, without a peak
+      const double chance = 3 / std::sqrt(sidecar_count);
+      // Repeated calls within a third of the longest delay.
+      EXPECT_NEAR(share(0), std::exp(1.0 / 3) - 1, chance);
       EXPECT_NEAR(share(10), 2.0 / 3, chance);
     }
   }
 }
 
-// Forty fleets or more of each size start at once with no list. A call to discovery takes 3 s and each fifth
-// fails, which has to be repeated within 1.5 s, as `src/net` tells it. A sidecar is ready with its first
-// list.
-TEST_F(BalancerTest, AFleetThatStartsWithNoListIsReadyInTime) {
+// At least forty fleets of each size start without a list. A call to discovery takes 3 s, every fifth call
+// fails, and `src/net` asks for a repetition within 1.5 s. A sidecar is ready once it has its first list.
+TEST_F(BalancerTest, AFleetThatStartsWithoutAListIsReadyInTime) {
   constexpr Micros kCall = 3 * kSec;
-  constexpr std::uint64_t kSidecars = 12'000;  // of all fleets of a size
-  for (const std::uint32_t siblings : {3U, 40U, 300U}) {
+  constexpr std::uint64_t kSidecars = 12'000;  // in all fleets of one size
+  for (const std::uint32_t sidecar_count : {3U, 40U, 300U}) {
     Settings settings = MakeSettings();
     settings.must_subscribe = true;
-    settings.sidecar_count = siblings;
+    settings.sidecar_count = sidecar_count;
     int ready_in_5s = 0;
     int ready_in_10s = 0;
-    std::vector<int> late(kSidecars / siblings);  // by fleet: not ready in 10 s
+    std::vector<int> late(kSidecars / sidecar_count);  // by fleet: sidecars not ready within 10 s
     for (std::uint64_t sidecar = 0; sidecar < kSidecars; ++sidecar) {
-      settings.rank = static_cast<std::uint32_t>(sidecar % siblings);
+      settings.rank = static_cast<std::uint32_t>(sidecar % sidecar_count);
       RandomSource random(sidecar);
       std::string error;
       now_ = 0;
@@ -1377,29 +1392,31 @@
       }
       ready_in_5s += now_ <= 5 * kSec;
       ready_in_10s += now_ <= 10 * kSec;
-      late[sidecar / siblings] += now_ > 10 * kSec;
+      late[sidecar / sidecar_count] += now_ > 10 * kSec;
     }
-    EXPECT_GT(ready_in_5s, kSidecars * 3 / 4) << siblings;
-    EXPECT_GT(ready_in_10s, kSidecars * 19 / 20) << siblings;
-    if (siblings < 40) continue;
-    const auto many = [&](int n) { return n > static_cast<int>(siblings) / 10; };
-    EXPECT_LE(std::count_if(late.begin(), late.end(), many), static_cast<int>(late.size()) / 20) << siblings;
+    EXPECT_GT(ready_in_5s, kSidecars * 3 / 4) << sidecar_count;
+    EXPECT_GT(ready_in_10s, kSidecars * 19 / 20) << sidecar_count;
+    if (sidecar_count < 40) continue;
+    const auto many = [&](int n) { return n > static_cast<int>(sidecar_count) / 10; };
+    EXPECT_LE(std::count_if(late.begin(), late.end(), many), static_cast<int>(late.size()) / 20)
+        << sidecar_count;
   }
 }
 
-// What a fleet asks of discovery in its first second: all of it where no server is known, spread over the
-// second, and a fifth where one is. It is the same for all who have no server to send to.
-TEST_F(BalancerTest, TheFirstCallIsSoonWhereNoServerIsKnownAndSpreadWhereOneIs) {
+// In its first second a fleet without a usable server makes all of its first calls to discovery, spread over
+// that second; a fleet that knows a server makes a fifth of them. A list with draining servers alone counts
+// as no usable server.
+TEST_F(BalancerTest, TheFirstCallToDiscoveryIsSoonerIfNoServerIsUsable) {
   const auto draining = [] {
     auto servers = MakeServers(2);
     for (ServerInfo& server : servers) server.state = ServerInfo::State::kDraining;
     return servers;
   }();
-  for (const std::uint32_t siblings : {3U, 40U, 300U, 14'000U}) {
+  for (const std::uint32_t sidecar_count : {3U, 40U, 300U, 14'000U}) {
     const auto calls = [&](const std::vector<ServerInfo>& known) {
       Settings settings = MakeSettings();
       settings.must_subscribe = true;
-      settings.sidecar_count = siblings;
+      settings.sidecar_count = sidecar_count;
       std::array<int, 50> by_tenth{};  // of a second
       for (std::uint64_t seed = 0; seed < 3000; ++seed) {
         std::string error;
@@ -1411,15 +1428,16 @@
     };
     for (const auto& known : {std::vector<ServerInfo>(), draining}) {
       const auto soon = calls(known);
-      EXPECT_EQ(std::accumulate(soon.begin(), soon.begin() + 10, 0), 3000) << siblings;
-      EXPECT_LT(*std::max_element(soon.begin(), soon.end()), 400) << siblings;  // no herd in one instant
+      EXPECT_EQ(std::accumulate(soon.begin(), soon.begin() + 10, 0), 3000) << sidecar_count;
+      // No burst at one instant.
+      EXPECT_LT(*std::max_element(soon.begin(), soon.end()), 400) << sidecar_count;
     }
     const auto spread = calls(MakeServers(2));
-    EXPECT_NEAR(std::accumulate(spread.begin(), spread.begin() + 10, 0), 600, 80) << siblings;
+    EXPECT_NEAR(std::accumulate(spread.begin(), spread.begin() + 10, 0), 600, 80) << sidecar_count;
   }
 }
 
-TEST_F(BalancerTest, AsksDiscoveryAgainAfterAFailureWithinTheTimeStated) {
+TEST_F(BalancerTest, CallsDiscoveryAgainWithinTheTimeStatedAfterAFailure) {
   Settings settings = MakeSettings();
   settings.must_subscribe = true;
   std::string error;
@@ -1440,8 +1458,9 @@
   }
 }
 
-// News that may bind before it is heard does not wait for the usual spread, nor for an ask that is planned.
-TEST_F(BalancerTest, AsksDiscoveryInTheTimeThatPressesAndOnce) {
+// If missed changes may take effect soon, the call is made neither after the usual spread nor at the time
+// already scheduled, but within the time stated.
+TEST_F(BalancerTest, CallsDiscoveryOnceAndWithinTheTimeStatedWhenMissedChangesTakeEffectSoon) {
   Settings settings = MakeSettings();
   settings.must_subscribe = true;
   settings.sidecar_count = 300;
@@ -1454,17 +1473,17 @@
   ListUpdate failed{ListUpdate::Kind::kFailed, 0, {}};
   failed.ask_within = 1;
   balancer_->OnServers(now_, failed);
-  const auto pressed = sink_.Take();
-  ASSERT_EQ(pressed.size(), 1u);
-  EXPECT_EQ(pressed[0].kind, Kind::kTimer);
-  EXPECT_LE(pressed[0].time, 1);
-  const auto ask = Fire(pressed[0]);
+  const auto expedited = sink_.Take();
+  ASSERT_EQ(expedited.size(), 1u);
+  EXPECT_EQ(expedited[0].kind, Kind::kTimer);
+  EXPECT_LE(expedited[0].time, 1);
+  const auto ask = Fire(expedited[0]);
   ASSERT_EQ(ask.size(), 1u);
   EXPECT_EQ(ask[0].kind, Kind::kSubscribe);
-  EXPECT_TRUE(Fire(planned[0]).empty());  // it has been asked already
+  EXPECT_TRUE(Fire(planned[0]).empty());  // the call has already been made
 }
 
-TEST_F(BalancerTest, IgnoresWhatItDoesNotKnow) {
+TEST_F(BalancerTest, IgnoresEventsForUnknownRequestsAndAttempts) {
   Start(MakeSettings(), 4);
   EXPECT_TRUE(Resolve("nobody", 0, Result::kRefused).empty());
   Arrive("r1");
@@ -1477,10 +1496,10 @@
   EXPECT_TRUE(sink_.Take().empty());
   EXPECT_EQ(Arrive("r2", 99)[0].kind, Kind::kFail);
   EXPECT_EQ(Resolve("r1", 0, Result::kRefused).size(), 1u);
-  EXPECT_TRUE(Resolve("r1", 0, Result::kRefused).empty());  // a second time
+  EXPECT_TRUE(Resolve("r1", 0, Result::kRefused).empty());  // delivered a second time
 }
 
-TEST_F(BalancerTest, ForgetsARequestWhoseClientHasGoneOnceItsAttemptIsResolved) {
+TEST_F(BalancerTest, DropsARequestOfADisconnectedClientOnceItsAttemptIsResolved) {
   Start(MakeSettings(), 4);
   Arrive("r1");
   balancer_->OnClientDisconnected(now_, "r1");
@@ -1489,7 +1508,7 @@
   EXPECT_EQ(balancer_->pending_request_count(), 0u);
 }
 
-TEST(BalancerSettings, RejectsWhatMakesNoSense) {
+TEST(BalancerSettings, RejectsInvalidSettings) {
   const std::vector<std::pair<std::string, void (*)(Settings&)>> cases = {
       {"no request classes", [](Settings& s) { s.classes.clear(); }},
       {"negative time in class c", [](Settings& s) { s.classes[1].deadline = -1; }},
@@ -1499,9 +1518,9 @@
       {"slow_start_share outside (0, 1]", [](Settings& s) { s.slow_start_share = 0; }},
       {"negative time", [](Settings& s) { s.slow_start_duration = -1; }},
   };
-  for (const auto& [expected, spoil] : cases) {
+  for (const auto& [expected, make_invalid] : cases) {
     Settings settings = MakeSettings();
-    spoil(settings);
+    make_invalid(settings);
     Recorder sink;
     std::string error;
     EXPECT_EQ(Balancer::Create(settings, 1, 0, sink, error), nullptr);
