--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -1,5 +1,5 @@
-// The whole of it in one file: settings, events in, actions out. Plays a sidecar with four servers, the
-// first of which turns every request away.
+// A minimal use of merlinrun: create a Balancer, deliver events, carry out its actions. Simulates a sidecar
+// with four servers, the first of which refuses every request.
 #include <cstdio>
 #include <map>
 #include <merlinrun/balancer.hpp>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A real caller sends here; this one notes what it is asked to do.
+// Records the actions of the balancer. A real program sends the requests and sets the timers here.
 class Sink : public merlinrun::ActionSink {
  public:
   void Send(std::string_view request, const std::string& server, merlinrun::Micros) override {
@@ -17,9 +17,9 @@
     sent.emplace_back(request, server);
   }
   void Cancel(std::string_view, int) override {}
-  void Refuse(std::string_view request, merlinrun::Micros after) override {
+  void Refuse(std::string_view request, merlinrun::Micros retry_after) override {
     std::printf("refuse  %s, back after %lld us\n", std::string(request).c_str(),
-                static_cast<long long>(after));
+                static_cast<long long>(retry_after));
   }
   void Fail(std::string_view request) override { std::printf("fail    %s\n", std::string(request).c_str()); }
   void SetTimer(merlinrun::Micros delay, std::uint64_t token) override { timers[token] = delay; }
@@ -35,17 +35,17 @@
 int main() {
   using namespace merlinrun;
   Settings settings;
-  RequestClass look;
-  look.name = "look";
-  look.latency_target = 500'000;
-  look.deadline = 2'000'000;
-  look.repeat = Repeat::kSafe;
-  settings.classes = {look};
+  RequestClass look_class;
+  look_class.name = "look";
+  look_class.latency_target = 500'000;
+  look_class.deadline = 2'000'000;
+  look_class.repeat = Repeat::kSafe;
+  settings.classes = {look_class};
   settings.max_attempts = 4;
 
   Sink sink;
   std::string error;
-  Micros now = 1'000'000;  // any monotonic count of microseconds
+  Micros now = 1'000'000;  // from any monotonic clock, in microseconds
   const auto balancer = Balancer::Create(settings, /*seed=*/1, now, sink, error);
   if (balancer == nullptr) {
     std::fprintf(stderr, "settings: %s\n", error.c_str());
@@ -61,7 +61,7 @@
     const std::string id = "r" + std::to_string(i);
     Request request;
     request.id = id;
-    request.budget = look.deadline;
+    request.budget = look_class.deadline;
     balancer->OnRequest(now, request);
     for (int attempt = 0; !sink.sent.empty(); ++attempt) {
       const auto [to, server] = sink.sent.back();
@@ -71,8 +71,8 @@
       outcome.attempt = attempt;
       outcome.elapsed = 20'000;
       outcome.result = server == servers[0].id ? Result::kRefused : Result::kSuccess;
-      outcome.final_answer_sent =
-          outcome.result == Result::kSuccess;  // a success reaches the client and ends it
+      // A success is passed on to the client and ends the request.
+      outcome.final_answer_sent = outcome.result == Result::kSuccess;
       served += outcome.final_answer_sent;
       now += outcome.elapsed;
       balancer->OnOutcome(now, outcome);
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -137,7 +137,7 @@
     ASSERT_EQ(end.size(), 1u);
     EXPECT_EQ(end[0].kind, Kind::kFail);
   }
-  Arrive("r", 2);  // proven not to have run: may go on
+  Arrive("r", 2);  // did not run, so it may be retried
   const auto wait = Resolve("r", 0, Result::kUnreachable);
   ASSERT_EQ(wait.size(), 1u);
   EXPECT_EQ(wait[0].kind, Kind::kTimer);
@@ -951,7 +951,7 @@
   EXPECT_LT(sent, 70);
 }
 
-// A server that becomes slow but still answers late would otherwise keep getting its full share at once.
+// A server that becomes slow but does answer in the end would otherwise keep getting its full share at once.
 TEST_F(BalancerTest, AServerThatExceedsTheLatencyTargetIsEjectedThenTriedOneRequestAtATime) {
   Settings settings = MakeSettings();
   settings.classes[0].late_value = 0.5;
@@ -1417,7 +1417,7 @@
       Settings settings = MakeSettings();
       settings.must_subscribe = true;
       settings.sidecar_count = sidecar_count;
-      std::array<int, 50> by_tenth{};  // of a second
+      std::array<int, 50> by_tenth{};  // calls by tenth of a second
       for (std::uint64_t seed = 0; seed < 3000; ++seed) {
         std::string error;
         balancer_ = Balancer::Create(settings, seed, now_, sink_, error);
