--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -32,11 +32,11 @@
   std::size_t descriptor_limit = 1024;               // maximum number of open file descriptors
   std::size_t memory_limit = std::size_t{64} << 20;  // maximum memory use in bytes
   std::optional<Tcp::endpoint> management;           // address of the management endpoint, if there is one
-  std::optional<int> accept_fd;          // listening socket for clients, inherited from the parent
-  std::string shared_dir;                // shared with the next version's process; empty = none
-  std::vector<std::string> class_names;  // as spelled in the settings, by class index
-  drill::WireSettings wire;              // the settings of the decision module
-  EndpointList last_known_list;          // the last list of servers that this sidecar had
+  std::optional<int> accept_fd;                      // inherited listening socket for clients, if any
+  std::string shared_dir;                            // shared with the next version's process; empty = none
+  std::vector<std::string> class_names;              // as spelled in the settings, by class index
+  drill::WireSettings wire;                          // the settings of the decision module
+  EndpointList last_known_list;                      // the last list of servers that this sidecar had
 };
 
 // Converts the JSON settings to the `path=value` pairs that drill::ParseSettings reads, so that the sidecar
@@ -59,8 +59,8 @@
 // Looks up an environment variable by name; null if it is not set.
 using Environment = std::function<const char*(const char*)>;
 
-// Reads the configuration at the start: the file that EDGE_CONFIG names and the other EDGE_* variables.
-// Throws ConfigError if any of them is invalid.
+// Reads the configuration at the start: the file that EDGE_CONFIG names, the other EDGE_* variables and
+// TMPDIR. Throws ConfigError if any of them is invalid.
 Config LoadConfig(const Environment& environment);
 
 // Reads the file again after it was replaced. The file's discovery address applies this time: EDGE_DISCOVERY
--- a/src/net/management.hpp
+++ b/src/net/management.hpp
@@ -24,6 +24,7 @@
   // soon as it is read, so the callers of the open connections are slow to send theirs or to close.
   static constexpr std::size_t kMaxSessions = 8;
 
+  // An answer, to which the endpoint adds the remaining headers.
   struct Reply {
     http::status status = http::status::ok;
     std::string body;
@@ -32,7 +33,7 @@
   };
   // The sidecar's part of the answers.
   struct Handlers {
-    std::function<bool()> ready;
+    std::function<bool()> ready;         // whether the sidecar can take requests now
     std::function<std::string()> stats;  // as JSON text
     // Takes a server out of use (`down`) or puts it back.
     std::function<Reply(const std::string& server, bool down)> set_admin_down;
