--- a/src/bans.hpp
+++ b/src/bans.hpp
@@ -1,4 +1,4 @@
-// The servers that operators have taken out of use by hand, and those that they have put back.
+// The servers that operators have taken administratively down, and those that they have put up again.
 #ifndef MERLINRUN_BANS_HPP_
 #define MERLINRUN_BANS_HPP_
 
@@ -12,17 +12,18 @@
 
 namespace merlinrun {
 
-// Servers are named by their id; times are in microseconds of the module's clock.
+// Servers are identified by their id; times are in microseconds of the Balancer's clock.
 class AdminDownServers {
  public:
-  // `started`: as the list has it, empty if the server was never listed. False if it is out already.
+  // `started`: the start time in the list; empty if the server was never listed. Returns false if the server
+  // is down already.
   bool SetDown(std::string_view id, std::optional<Micros> started) {
     const auto entry = entries_.find(id);
     if (entry != entries_.end() && entry->second.down) return false;
     entries_.insert_or_assign(std::string(id), Entry{true, started, 0});
     return true;
   }
-  // False if it is not out.
+  // Returns false if the server is not down.
   bool SetUp(std::string_view id, Micros now) {
     const auto entry = entries_.find(id);
     if (entry == entries_.end() || !entry->second.down) return false;
@@ -30,7 +31,8 @@
     entry->second.up_since = now;
     return true;
   }
-  // The list tells of a server. Its first start to be told is the one that was banned.
+  // The list contains the server. For one that was taken down before it was listed, the first listed start
+  // time is taken as that of the process that was taken down.
   void OnListed(std::string_view id, Micros started) {
     const auto entry = entries_.find(id);
     if (entry != entries_.end() && !entry->second.listed_start) entry->second.listed_start = started;
@@ -40,8 +42,9 @@
     const auto entry = entries_.find(id);
     return entry != entries_.end() && entry->second.down;
   }
-  // When a server started, as far as is known. Guards against taking one for warm that was restarted while it
-  // was out: the list tells it late.
+  // The start time of a server: the listed one, or the time at which it was put up again if that is later and
+  // the list still shows the start time from before. A server that was restarted while it was down would
+  // otherwise count as warmed up, since the list shows the restart late.
   Micros StartTime(std::string_view id, Micros listed) const {
     const auto entry = entries_.find(id);
     const bool use_listed = entry == entries_.end() || entry->second.listed_start.value_or(listed) != listed;
@@ -51,7 +54,7 @@
  private:
   struct Entry {
     bool down = true;
-    std::optional<Micros> listed_start;  // as listed when it was taken out; another start is news
+    std::optional<Micros> listed_start;  // when it was taken down; a different one means a restart
     Micros up_since = 0;
   };
 
--- a/src/outdated_list.hpp
+++ b/src/outdated_list.hpp
@@ -1,5 +1,5 @@
-// Decides whether anything may be sent while the list of servers is out of date: past the grace of a drain
-// that this sidecar may have missed, any server may be one that drains.
+// Pauses dispatch while the list of servers is stale: once the grace period of a drain that this sidecar may
+// have missed is over, any server may be one that has drained.
 #ifndef MERLINRUN_OUTDATED_LIST_HPP_
 #define MERLINRUN_OUTDATED_LIST_HPP_
 
@@ -10,13 +10,14 @@
 
 namespace merlinrun {
 
+// Knows from when on missed changes take effect, and whether dispatch is paused because of them.
 class StaleListGuard {
  public:
   explicit StaleListGuard(const Settings& settings)
       : grace_(std::max<Micros>(settings.drain_grace - settings.dial_timeout - settings.tick - kMaxWriteDelay,
                                 0)) {}
 
-  // Changes that were not heard bind from then on.
+  // Missed changes take effect from `effective_from` on.
   void SetStale(Micros effective_from, MissedChanges missed) {
     effective_from_ = effective_from;
     missed_ = missed;
@@ -26,23 +27,24 @@
     paused_since_.reset();
   }
 
-  // Whether requests are held back now. Not for longer than kMaxPauseForPossibleChanges where changes are
-  // only possible: a discovery that stays overloaded must not stop all service, so from then on the last list
-  // is used as it is.
+  // Whether dispatch is paused now. Where changes are only possible, it is paused for at most
+  // kMaxPauseForPossibleChanges, and the last list is used after that: a discovery that stays overloaded must
+  // not stop all service.
   bool DispatchPaused(Micros now) {
     if (!effective_from_ || now < *effective_from_ + grace_) return false;
     if (!paused_since_) paused_since_ = now;
     return missed_ == MissedChanges::kAnnounced || now < *paused_since_ + kMaxPauseForPossibleChanges;
   }
-  // Since when they are; empty if they are not, or were and discovery is still not heard.
+  // The start of the pause. Stays set when the pause has reached its maximum and the list is still stale;
+  // empty if there was no pause since the list was last current.
   std::optional<Micros> paused_since() const { return paused_since_; }
 
  private:
-  // A sidecar may be held up by so much between reading its clock and writing.
+  // A sidecar may be delayed by this long between reading its clock and writing a request.
   static constexpr Micros kMaxWriteDelay = 200'000;
   static constexpr Micros kMaxPauseForPossibleChanges = 5'000'000;
 
-  const Micros grace_;
+  const Micros grace_;  // from when a missed drain takes effect until the last moment to start a request
   std::optional<Micros> effective_from_;
   MissedChanges missed_ = MissedChanges::kPossible;
   std::optional<Micros> paused_since_;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,7 +1,8 @@
-// The decisions of merlinrun. Interface: include/merlinrun/balancer.hpp. Why it is so: docs/design.md.
+// The decisions of the balancer. The interface is include/merlinrun/balancer.hpp, the constants are in
+// tunables.hpp.
 //
-// Order of this file: state, the list of servers and the window, a request's life (arrival, choice
-// of a server, outcome, wait, end), discovery.
+// Order of this file: the list of servers and the window, learned state, the life of a request, admission,
+// server statistics, the choice of a server, retries and the end of a request, discovery.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -21,8 +22,8 @@
 namespace merlinrun {
 namespace {
 
-// The one place that says which outcomes prove that the attempt never ran. Some servers also turn away what
-// they had begun: their refusal proves nothing.
+// Whether an outcome proves that the attempt never ran. Some servers also refuse requests that they have
+// begun; their refusal proves nothing.
 bool ProvesNeverRan(Result result, bool refused_may_have_run) {
   return (result == Result::kRefused && !refused_may_have_run) || result == Result::kUnreachable ||
          result == Result::kNeverSent;
@@ -33,12 +34,12 @@
 }
 
 Micros ExponentialBackoff(Micros base, int exponent, Micros cap) {
-  return std::min(cap, base << std::min(exponent, 20));  // 20: far past any cap, short of overflow
+  return std::min(cap, base << std::min(exponent, 20));  // 20 doublings exceed any cap and do not overflow
 }
 
-// The window is of fixed size for all but the busiest sidecars. One that has more attempts out than window
-// servers takes a longer run of the ring, by its own traffic and never by the fleet's size: else a few busy
-// callers choke the servers of their windows while others idle.
+// The number of servers in the window. A sidecar with many attempts in flight gets a larger window, in
+// proportion to its own traffic and independent of the fleet's size; with a fixed size a few busy callers
+// overload the servers of their windows while others are idle.
 std::size_t WindowSize(const Pool& pool, const Settings& settings) {
   const double per_in_flight =
       settings.cost_connection > 0 ? kWindowServersPerInFlight : kWindowServersPerInFlightAtNoCost;
@@ -48,6 +49,7 @@
 
 }  // namespace
 
+// The implementation of Balancer, with the time of the event in now_.
 class Balancer::State {
  public:
   State(const Settings& settings, std::uint64_t seed, Micros now, ActionSink& sink)
@@ -59,6 +61,7 @@
         class_loads_(settings.classes.size()),
         rate_updated_at_(now) {}
 
+  // Time never runs backwards: an event with an earlier time is taken as simultaneous with the last one.
   State& AdvanceTo(Micros now) { return now_ = std::max(now_, now), *this; }
 
   // ---- The list of servers and the window on its ring ----
@@ -77,7 +80,8 @@
     for (const ServerInfo& info : update.servers) {
       Server& server = servers_[info.id];
       if (!rebuild) pools_[server.pool].Remove(server);
-      if (info.started != server.info.started)  // new here, or its process is: chance decides who starts it
+      // A new process: the credit is random, so that not all sidecars send to it at once.
+      if (info.started != server.info.started)
         server.slow_start_credit = {random_.Unit(), served_count_, now_};
       server.info = info;
       admin_down_.OnListed(info.id, info.started);
@@ -88,39 +92,42 @@
     if (rebuild) RebuildRings();
     UpdateWindows();
     if (update.kind != ListUpdate::Kind::kStale) return void(failed_subscribes_ = 0);
-    // A fresh start: spread, as all sidecars may have started together; soon where nobody is served until the
-    // answer. One that takes over starts alone, and news that its predecessor has been told binds it too.
+    // The list is a stored one from before the start. The first Subscribe is delayed at random, as all
+    // sidecars may have started together; the delay is short where no server is available until the answer. A
+    // sidecar that takes over from another process starts alone, and changes that its predecessor received
+    // take effect for it too, so it subscribes at once.
     const Micros max_spread = settings_.ask_within / 2;
     ScheduleSubscribe(settings_.takes_over ? 0
                       : NoServerListed()   ? std::min(kSubscribeRetryBase, max_spread)
                                            : max_spread);
   }
 
-  // What was not heard of the list binds from then on; empty while the list is current.
+  // Missed changes take effect from `effective_from` on; empty while the list is current.
   void OnListStaleness(std::optional<Micros> effective_from, MissedChanges missed) {
     if (effective_from) return stale_list_guard_.SetStale(*effective_from, missed);
-    if (stale_list_guard_.paused_since()) LogDispatchPause("in use again", *stale_list_guard_.paused_since());
+    if (stale_list_guard_.paused_since())
+      LogDispatchPause("current again", *stale_list_guard_.paused_since());
     stale_list_guard_.SetCurrent();
   }
 
-  // Guards against sending to a server whose drain was never heard of.
+  // Whether nothing may be sent because a server may have drained without this sidecar knowing it.
   bool DispatchPaused() {
     const bool was_paused = stale_list_guard_.paused_since().has_value();
     const bool paused = stale_list_guard_.DispatchPaused(now_);
-    if (paused && !was_paused) LogDispatchPause("out of date", now_);
+    if (paused && !was_paused) LogDispatchPause("stale", now_);
     return paused;
   }
 
   void LogDispatchPause(const char* state, Micros since) {
     char text[80];
-    std::snprintf(text, sizeof text, "list: %s; requests held back since %.3f s ago", state,
+    std::snprintf(text, sizeof text, "list: %s; dispatch paused %.3f s ago", state,
                   static_cast<double>(now_ - since) / kSecond);
     sink_.Log(text);
   }
 
   bool NoServerListed() const { return pools_[0].ring.empty() && pools_[1].ring.empty(); }
 
-  // ---- Servers out by hand ----
+  // ---- Administratively down servers ----
 
   void SetAdminDown(std::string_view id, bool down) {
     const auto server = servers_.find(std::string(id));
@@ -135,7 +142,8 @@
     UpdateWindows();
   }
 
-  // Its process is another one: what was seen of the old one says nothing of it.
+  // Called when a server is put up again: its process may be a new one, and what was learned of the old one
+  // does not hold for it.
   void DiscardStatistics(Server& server) {
     Server fresh;
     fresh.info = server.info;
@@ -148,7 +156,8 @@
 
   bool IsAdminDown(const Server& server) const { return admin_down_.IsDown(server.info.id); }
 
-  // On the ring, if it may be sent to. One that is gone is kept while attempts at it are out.
+  // Adds a server to its ring if it may be sent to. An unlisted one is kept on record while attempts at it
+  // are in flight.
   void AddToRingIfEligible(Server& server) {
     if (!server.listed) unlisted_.push_back(server.info.id);
     if (server.listed && server.info.state == ServerInfo::State::kHealthy && !IsAdminDown(server))
@@ -162,6 +171,7 @@
     for (auto& [id, server] : servers_) AddToRingIfEligible(server);
   }
 
+  // Removes unlisted servers without attempts in flight, and adapts the pools to the sizes of their rings.
   void UpdateWindows() {
     std::erase_if(unlisted_, [this](const std::string& id) {
       const auto it = servers_.find(id);
@@ -170,15 +180,16 @@
     });
     for (Pool& pool : pools_) {
       ScaleAdmission(pool, std::exchange(pool.ring_size_before, pool.ring.size()));
-      // Ranks are spread evenly over the ring; a server that comes or goes shifts each window by one at most.
+      // Ranks are spread evenly over the ring: a server that is added or removed shifts each window by at
+      // most one.
       pool.window_offset = static_cast<std::size_t>(static_cast<std::uint64_t>(settings_.rank) *
                                                     pool.ring.size() / settings_.sidecar_count);
     }
   }
 
-  // ---- What is handed over to the next process ----
+  // ---- Learned state for the next process ----
 
-  // Guards against a successor that takes an overload for what is usual, as it begins in the middle of it.
+  // A successor that starts during an overload would otherwise take the overload for the usual state.
   std::string ExportLearnedState() {
     std::string text = LearnedStateHeader(settings_) + "\n";
     const auto write = [&](double value) {
@@ -195,7 +206,7 @@
     return text + "\n.\n";
   }
 
-  // All or nothing: it is read twice, and taken the second time.
+  // The text is read twice, to restore all of it or nothing: the first pass only validates it.
   bool RestoreLearnedState(std::string_view learned) {
     const std::string header = LearnedStateHeader(settings_) + "\n";
     if (learned.substr(0, header.size()) != header) return false;
@@ -220,6 +231,7 @@
     return true;
   }
 
+  // Visits the learned figures in the order in which they are stored.
   template <typename Visit>
   void VisitLearnedState(Visit visit) {
     for (Pool& pool : pools_)
@@ -243,7 +255,7 @@
     for (double& share : server.refusal_rates) visit(share);
   }
 
-  // ---- A request's life ----
+  // ---- The life of a request ----
 
   void OnRequest(const Request& in) {
     if (in.request_class < 0 || static_cast<std::size_t>(in.request_class) >= class_loads_.size())
@@ -299,7 +311,7 @@
       case Result::kUnreachable:
       case Result::kReset:
         return RetryLaterOrFinish(it);
-      case Result::kSuccess:  // unsettled: not legal, and an end is owed all the same
+      case Result::kSuccess:  // without a final answer: invalid, but the request has to end
       case Result::kError:
       case Result::kTimeout:
       case Result::kCancelled:
@@ -308,7 +320,7 @@
     }
   }
 
-  // A request is timed from its last byte, and so is its attempt.
+  // The times of a request and of its attempt start with the last byte of its body.
   void OnRequestBodyComplete(std::string_view request, Micros budget) {
     auto it = pending_.find(std::string(request));
     if (it == pending_.end() || !std::exchange(it->second.body_pending, false)) return;
@@ -326,7 +338,7 @@
 
   void OnTimer(std::uint64_t token) {
     if (token == kSubscribeToken) {
-      if (!next_subscribe_at_ || now_ < *next_subscribe_at_) return;  // asked already, or planned anew
+      if (!next_subscribe_at_ || now_ < *next_subscribe_at_) return;  // already done, or rescheduled
       next_subscribe_at_.reset();
       return sink_.Subscribe();
     }
@@ -337,7 +349,7 @@
     if (it == pending_.end() || it->second.timer_token != token) return;
     if (it->second.ended) return RemoveIfDone(it);
     if (it->second.HasAttemptInFlight()) return OnLatencyTargetMissed(it->second);
-    if (!IsNextForKey(it)) return Finish(it);  // it has waited for its turn as long as its client waits
+    if (!IsNextForKey(it)) return Finish(it);  // its key was blocked until its deadline
     SendOrRetryLater(it);
   }
 
@@ -359,19 +371,19 @@
     return settings_.classes[request.request_class];
   }
 
-  // Requests with one key go in order of arrival: only the first in line may be sent.
+  // Requests with the same key run in order of arrival: only the first in the queue may be sent.
   bool IsNextForKey(PendingIt it) const {
     return it->second.key.empty() || key_queues_.at(it->second.key).front() == it->first;
   }
 
   void SendOrRetryLater(PendingIt it) {
     PendingRequest& request = it->second;
-    request.timer_token = 0;  // a turn may come before the alarm that was set for its failing to come
+    request.timer_token = 0;  // the timer for the end of the wait in the queue may still be set
     if (!IsNextForKey(it))
       return SetRequestTimer(it, std::max<Micros>(request.deadline - now_ - 2 * settings_.tick, 0));
     Server* server = request.deadline > now_ && !DispatchPaused() ? ChooseServer(request) : nullptr;
     if (server == nullptr) return RetryLaterOrFinish(it);
-    // Spent where it is sent to, not where it is drawn: a draw that another server wins must cost it nothing.
+    // The credit is spent only here: a server that was drawn but not chosen must not lose any.
     server->slow_start_credit.available = std::max(server->slow_start_credit.available - 1, 0.0);
     if (server->in_flight++ == 0) server->last_answer_at = now_;
     Pool& pool = pools_[server->pool];
@@ -383,8 +395,8 @@
     if (time_to_target > 0 && !request.body_pending) SetRequestTimer(it, time_to_target);
   }
 
-  // An attempt is given up when its answer would be worth nothing. Guards against servers kept busy with what
-  // comes late, and tells early of those that hang.
+  // The timeout of an attempt; 0 = none. It ends when its answer would have no value: servers do not stay
+  // busy with late work, and one that hangs is noticed early.
   Micros AttemptTimeout(const PendingRequest& request) const {
     const RequestClass& c = ClassOf(request);
     if (c.latency_target <= 0 || c.late_value > 0 || c.latency_target_stretch > 0) return 0;
@@ -392,28 +404,31 @@
                                 : std::max<Micros>(request.arrived + c.latency_target - now_, settings_.tick);
   }
 
-  // ---- Overload: which work is let in ----
+  // ---- Admission ----
 
-  // Under pressure the work of least worth is refused first, before it fills a queue. Guards against servers
-  // that choke and against answers that all come late, each retried by its client on top of the load.
+  // Under overload the work of the lowest value is refused first, before it fills a queue. Otherwise servers
+  // become overloaded and all answers come late, each of them retried by its client on top of the load.
   bool Admit(PendingRequest& request) {
     const std::size_t class_index = request.request_class;
     for (request.pool = 0; request.pool < pools_.size(); ++request.pool) {
       Pool& pool = pools_[request.pool];
-      // All that was let in has ended since: no pressure is known. Guards against chains of sidecars that
-      // each refuse a part, so that nothing reaches the last ones and none of them ever learns better.
+      // Everything that was admitted has ended since the last signal, so nothing is known of an overload.
+      // Without this, in a chain of sidecars that each refuse a part, the last ones get no requests and never
+      // learn that the overload is over.
       if (now_ - pool.last_signal_at > class_loads_[class_index].max_budget)
         pool.admission = std::max(pool.admission, 1.0);
-      // A crossing has to be worth its price: requests of least worth stay at home or are refused.
+      // The value of a cross-zone request has to exceed its cost: requests of low value stay in the own zone
+      // or are refused.
       if (request.pool > 0 && ValueOf(class_index) < settings_.cost_cross_zone * mean_value_.value) break;
       if (!pool.ring.empty() && PoolAdmits(pool, class_index, request.already_late)) return true;
     }
     request.pool = 0;
-    return NoServerListed();  // one may yet be listed while it waits
+    return NoServerListed();  // a server may be listed while the request waits
   }
 
-  // Work that the fastest server of the window would not do in time serves nobody, and what it takes there is
-  // paid for. The dearer the work, the longer the odds that are taken.
+  // Whether not even the fastest server of the window can be expected to meet the latency target. Such work
+  // has no value and still costs server time. The higher its value per unit of work, the longer the expected
+  // time that is accepted.
   bool IsInfeasible(const PendingRequest& request) const {
     const RequestClass& c = ClassOf(request);
     const ClassLoad& load = class_loads_[request.request_class];
@@ -431,7 +446,8 @@
            tolerance * static_cast<double>(c.latency_target);
   }
 
-  // Says what is refused on arrival and why; at most once a second and nothing while all is let in.
+  // Logs what is refused on arrival and why: at most once a second, and nothing while all requests are
+  // admitted.
   void LogAdmission(const PendingRequest& request, bool admitted) {
     ++arrived_count_;
     if (!admitted) ++refused_count_;
@@ -440,8 +456,8 @@
     char text[240];
     std::snprintf(
         text, sizeof text,
-        "admission: %d of %d requests refused, %d as hopeless; admit %.2f, room %.2f; pressure %.2f aims, "
-        "least %.2f, target %.2f; %d out at %zu servers",
+        "admission: %d of %d requests refused, %d as infeasible; admission %.2f, by concurrency %.2f; "
+        "latency ratio %.2f, unloaded %.2f, target %.2f; %d attempts in flight at %zu servers",
         std::exchange(refused_count_, 0), std::exchange(arrived_count_, 0),
         std::exchange(infeasible_count_, 0), pool.admission, ConcurrencyAdmission(pool), pool.latency_ratio,
         pool.unloaded_latency_ratio, std::max(MarginalTarget(pool), MinTarget(pool)), pool.in_flight,
@@ -450,18 +466,20 @@
     sink_.Log(text);
   }
 
-  // What was fit for all of them is too much for those that are left, and they choke before it shows; what
-  // comes is given back. Guards against half of the servers going at once. Squared: what good answers have
-  // saved makes up for one server of eight, so that one that is replaced refuses nobody, and not for half of
-  // them. By the plain share of min(admit, 1) each replacement refused for a quarter second; the plain share
-  // of all that was saved would let in three quarters for half. It could harm where those that go were doing
-  // nothing; good answers mend that within a second.
+  // Adapts the admission when the number of servers changes: load that all of them could take overloads the
+  // remaining ones before it shows, as when half of the servers go at once; servers that are added restore
+  // it. The share is squared: an admission that good answers have raised to its maximum makes up for one
+  // server of eight, so that the replacement of one refuses nothing, but not for half of them. The plain
+  // share of min(admission, 1) refused requests for a quarter of a second at each replacement; the plain
+  // share of the whole admission would admit three quarters for half of the servers. If the removed servers
+  // were idle this refuses too much, until good answers correct it within a second.
   static void ScaleAdmission(Pool& pool, std::size_t ring_size_before) {
     if (ring_size_before == 0 || pool.ring.empty()) return;
     const double share = static_cast<double>(pool.ring.size()) / static_cast<double>(ring_size_before);
     pool.admission = std::clamp(pool.admission * share * share, kMinAdmission, std::max(pool.admission, 1.0));
   }
 
+  // Updates the mix of the arriving work, and the relative work of the request.
   void CountArrival(PendingRequest& request, std::optional<Micros> cost) {
     const std::size_t class_index = request.request_class;
     requests_carry_cost_ = requests_carry_cost_ || cost.has_value();
@@ -476,11 +494,12 @@
     mean_value_density_.Add(ValueDensity(class_index), kArrivalMemory);
   }
 
-  // The share that the attempts that are out leave room for. Answers tell of an overload late and make it
-  // look small, as the quick ones come first: with a third more out than servers keep up with, admission
-  // stood at its most while the answers that came were as usual, and four of nine choked. What is out shows
-  // it at once, whatever the cause: a burst, servers that go, slow down or choke. It could harm where more
-  // work comes for good within seconds; as long as answers stay good the limit follows.
+  // The admission that the concurrency limit allows. Answers show an overload late and understate it, as the
+  // fast ones arrive first: with a third more in flight than the servers could handle, the admission stayed
+  // at its maximum, while the answers that arrived were as usual, and four of nine servers became overloaded.
+  // The number in flight shows it at once, whatever the cause: a burst, or servers that are removed, slow
+  // down or are overloaded. A lasting increase of the load within seconds is limited too; the limit follows
+  // as long as answers stay good.
   double ConcurrencyAdmission(const Pool& pool) const {
     if (!pool.concurrency_limited) return 1;
     const double relative_in_flight =
@@ -490,11 +509,13 @@
         kMinAdmission, 1.0);
   }
 
+  // Whether the usual number of attempts in flight is known and large enough to limit it.
   static bool HasConcurrencyLimit(const Pool& pool) {
     return pool.in_flight_samples >= kInFlightMinSamples &&
            pool.in_flight_per_server * static_cast<double>(pool.ring.size()) >= kHighInFlight;
   }
 
+  // Averages the attempts in flight per server while nothing is refused.
   static void LearnInFlight(Pool& pool) {
     if (pool.admission < 1 || pool.ring.empty()) return;
     const double servers = static_cast<double>(pool.ring.size());
@@ -504,6 +525,8 @@
     pool.concurrency_limited = HasConcurrencyLimit(pool);
   }
 
+  // Admits the work of the highest value per unit, up to the admission of the pool. A class at the margin is
+  // admitted in part, at random.
   bool PoolAdmits(const Pool& pool, std::size_t class_index, bool already_late) {
     const double admission = std::min(pool.admission, ConcurrencyAdmission(pool));
     if (admission >= 1) return true;
@@ -513,7 +536,7 @@
                                  (already_late ? settings_.classes[class_index].late_value : 1));
   }
 
-  // Work that arrived lately and is worth more than `density`.
+  // Work of classes that arrived recently and have more value per unit than `density`.
   double ArrivingWorkAbove(double density) const {
     double sum = 0;
     for (std::size_t i = 0; i < class_loads_.size(); ++i)
@@ -521,13 +544,14 @@
     return sum;
   }
 
+  // The target latency ratio before the value of the work is considered.
   double BaseTarget(const Pool& pool) const {
     return settings_.reports == Settings::Reports::kNone
                ? kLatencyRatioTarget
                : std::min(kLatencyRatioTargetWithReports, pool.unloaded_latency_ratio + kUnloadedRatioMargin);
   }
 
-  // The target goes no lower than some way above the least pressure that was usual.
+  // The minimum of the target: a factor above the lowest mean latency ratio seen.
   double MinTarget(const Pool& pool) const {
     const double busy_fraction = std::clamp(
         (pool.in_flight_peak - kBusyStartInFlight) / (kBusyFullInFlight - kBusyStartInFlight), 0.0, 1.0);
@@ -538,9 +562,9 @@
     return std::min(factor * pool.unloaded_latency_ratio, max_target);
   }
 
-  // The pressure, in aims, at which no more is to be let in. It follows the worth of the work at the margin,
-  // the least that is still let in: cheap work goes while servers are far from choking, dear work only when
-  // answers come late.
+  // The latency ratio above which the admission falls. It depends on the value of the least valuable work
+  // that is still admitted: cheap work is refused while servers are far from overload, valuable work only
+  // when answers come late.
   double MarginalTarget(const Pool& pool) const {
     const double total = ArrivingWorkAbove(0);
     if (total <= 0) return BaseTarget(pool);
@@ -556,13 +580,15 @@
     return BaseTarget(pool) * std::sqrt(std::min(marginal_density / mean_density, 1.0));
   }
 
+  // The value of one request of a class.
   double ValueOf(std::size_t i) const {
     return settings_.classes[i].value * (settings_.value_by_work ? class_loads_[i].mean_work.value : 1);
   }
+  // The value per unit of work of a class.
   double ValueDensity(std::size_t i) const { return ValueOf(i) / class_loads_[i].mean_work.value; }
 
-  // An attempt that is still out when its request's aim has passed is pressure at once. Guards against
-  // hearing of an overload only when the answers come, seconds after they were late.
+  // Called when the latency target of a request passes with an attempt still in flight, which counts as
+  // overload at once. Otherwise an overload would show only with the answers, seconds after they were late.
   void OnLatencyTargetMissed(PendingRequest& request) {
     Attempt& attempt = request.attempts.back();
     if (!attempt.in_flight || std::exchange(attempt.overload_counted, true)) return;
@@ -570,14 +596,14 @@
     MaybeEject(*attempt.server, attempt.sent);
   }
 
-  // What an outcome tells of the pressure on the servers.
+  // Updates the admission of the pool by an outcome.
   void UpdateAdmission(const PendingRequest& request, const Server& server, const Outcome& outcome) {
     Pool& pool = pools_[server.pool];
-    // Requests that get no answer say nothing of load where the concurrency limit tells it: they are few
-    // servers' that stall, or lost on the way; nor do they where the server has lately had idle cores. As
-    // pressure they kept more than half of the work from servers that stood idle, for ten seconds; each one
-    // outweighs ten good answers. It could harm where servers choke without more attempts out than usual;
-    // what they answer still tells it.
+    // Requests without an answer are no overload signal where the concurrency limit shows it: they come from
+    // a few stalled servers or from loss on the network; nor are they one where the server recently had idle
+    // cores. Counted as overload they kept more than half of the work from idle servers for ten seconds, as
+    // each one outweighs ten good answers. An overload without more attempts in flight than usual still shows
+    // in the other answers.
     if (outcome.result == Result::kTimeout && (pool.concurrency_limited || !server.cores_busy)) return;
     const double latency_target = static_cast<double>(std::max<Micros>(ClassOf(request).latency_target, 1));
     double latency_ratio = std::min(static_cast<double>(outcome.elapsed) / latency_target, kMaxLatencyRatio);
@@ -590,7 +616,7 @@
                (outcome.result == Result::kRefused && !RefusesSingleClass(server))) {
       latency_ratio = kMaxLatencyRatio;
     } else {
-      return;  // says nothing of load
+      return;  // no load signal
     }
     LearnInFlight(pool);
     pool.last_signal_at = now_;
@@ -598,26 +624,30 @@
     pool.latency_ratio += (latency_ratio - pool.latency_ratio) / pool.latency_samples;
     if (pool.latency_samples >= kLatencyRatioMemory / 2)
       pool.unloaded_latency_ratio = std::min(pool.unloaded_latency_ratio, pool.latency_ratio);
-    // Guards against refusing work while servers have room: a dear request, a slow core or a far zone takes
-    // as long as an overload does. It could harm where reports lag far behind a sudden one.
+    // An expensive request, a slow core or a distant zone takes as long as an overload does: while the server
+    // reports idle cores, its answer counts no higher than an unloaded one. A sudden overload counts less
+    // until reports, which lag, show it.
     if (!server.cores_busy) latency_ratio = std::min(latency_ratio, pool.unloaded_latency_ratio);
     pool.consecutive_late = latency_ratio < 1 ? 0 : std::min(pool.consecutive_late + 1, kMaxLateFactor);
     const double min_target = pool.unloaded_latency_ratio < kMaxLatencyRatio ? MinTarget(pool) : 0;
     const double gain = kAdmissionStep * std::min(1.0, kHighInFlight / std::max(pool.in_flight_peak, 1.0));
     const double step = gain * (std::max(MarginalTarget(pool), min_target) -
                                 latency_ratio * std::max(pool.consecutive_late, 1.0));
-    // The less is let in, the fewer outcomes there are to recover by: each counts for more then.
+    // The less is admitted, the fewer outcomes there are to recover by, so each of them counts for more.
     pool.admission = std::clamp(
         pool.admission + (step > 0 ? step / std::max(pool.admission, kMinRecoveryAdmission) : step),
         kMinAdmission, kMaxAdmission);
   }
 
+  // The memory of a server's relative latency: longer for sidecars with more answers.
   static double ServerLatencyMemory(const Pool& pool) {
     return std::clamp(kServerLatencyMemoryBusy * pool.in_flight_peak / kHighInFlight, kServerLatencyMemory,
                       kServerLatencyMemoryBusy);
   }
 
-  // What an outcome tells of the server.
+  // ---- Server statistics ----
+
+  // Updates the statistics of the server by an outcome, and ejects the server after a failure.
   void UpdateServerStatistics(const PendingRequest& request, Server& server, Micros sent,
                               const Outcome& outcome) {
     ClassLoad& load = class_loads_[request.request_class];
@@ -650,20 +680,20 @@
       server.consecutive_failures = 0;
       server.last_timely_answer_at = now_;
     } else if (outcome.result != Result::kRefused) {
-      // At once broken, it says less: the network resets some of any server's requests. Guards against
-      // leaving half of the servers alone all the time; one that is dead has served nothing for an aim soon
-      // enough.
+      // A failure that comes faster than the latency target counts only if the server has not served others
+      // well for that long: the network resets some requests at any server, and half of the servers would be
+      // ejected all the time. A dead server meets this condition soon.
       MaybeEject(server, std::min(sent, now_ - ClassOf(request).latency_target));
     }
   }
 
-  // Outlier ejection: leaves a server alone for a while. Guards against dead, stuck and choking servers. A
-  // server on trial with an attempt out counts among those left alone, so that lateness ejects it from a
-  // narrow window once and not again: one that answers in the end is not given up (round 27).
-  // One that has served others well since the attempt was sent stays in: the request was dear, or its answer
-  // alone was spoilt. Guards against leaving healthy servers alone by chance: at 300 requests a second, a
-  // hundredth of them late, a sidecar left up to five of nine alone at once, and the rest choked. It could
-  // harm where a server hangs on one kind of request only.
+  // Outlier ejection: a dead, hanging or overloaded server gets no requests for a while. A server with its
+  // trial attempt in flight counts as ejected, so that late answers eject it from a small window once and not
+  // again: one that answers in the end stays in use. A server that has served others well since the attempt
+  // was sent stays in: the request was expensive, or only its answer was affected. Without this, healthy
+  // servers are ejected by chance: at 300 requests a second with one in a hundred late, a sidecar ejected up
+  // to five of nine servers at once and the rest became overloaded. A server that hangs on one kind of
+  // request only is not ejected.
   void MaybeEject(Server& server, Micros sent_at) {
     if (now_ < server.ejected_until || server.last_timely_answer_at > sent_at) return;
     const Pool& pool = pools_[server.pool];
@@ -675,31 +705,31 @@
         now_ + random_.UpTo(ExponentialBackoff(kEjectionBase, server.consecutive_failures++, kRetryCap));
   }
 
-  // A server in its wait, or with its one trial attempt out.
+  // Whether a server is within its ejection time, or has its one trial attempt after it in flight.
   bool IsEjected(const Server& server) const {
     return now_ < server.ejected_until || (server.consecutive_failures > 0 && server.in_flight > 0);
   }
 
-  // One class turned away of several is a limit on it and no pressure.
+  // A server that refuses one class out of several has a limit on that class; this is no overload signal.
   static bool RefusesSingleClass(const Server& server) {
     const auto refuses = [](double share) { return share > kMinRefusalShare; };
     return server.refusal_rates.size() > 1 &&
            std::count_if(server.refusal_rates.begin(), server.refusal_rates.end(), refuses) == 1;
   }
 
-  // A server that lately turned away this class is passed over as often as it did. Guards against limits on
-  // one class, which say nothing of room for the others, and against full servers. It could harm where all
-  // refuse by chance; the search from end to end then takes any.
+  // Skips a server as often as it recently refused this class. This covers limits on one class, which leave
+  // room for the others, and full servers. Where all servers refuse by chance, the search of the whole window
+  // still takes one.
   bool SkipForRefusals(const PendingRequest& request, const Server& server) {
     const double share = server.refusal_rates.empty() ? 0 : server.refusal_rates[request.request_class];
     return share > 0 && random_.Unit() < share;
   }
 
-  // A server that answers with errors is passed over by how often it did. Guards against one that fails fast:
-  // it has few attempts out and looks the least busy, so that it drew the more requests the faster it failed.
-  // The same for one that lets requests time out or resets them while it serves others well, which keeps it
-  // from being left alone.
-  // By class: servers that fail one kind of request alone serve the others well, and that hid it.
+  // Skips a server by how often it recently failed this class. A server that fails fast has few attempts in
+  // flight and looks the least loaded, so it would get more requests the faster it fails. The same holds for
+  // one that lets requests time out or resets them while it serves others well, which keeps it from being
+  // ejected. Rates are kept by class, as a server that fails only one kind of request serves the others well,
+  // which would hide it.
   bool SkipForFailures(const PendingRequest& request, const Server& server) {
     const double share = server.failure_rates.empty() ? 0 : server.failure_rates[request.request_class];
     return share > 0 && random_.Unit() < std::min(2 * share, kMaxSkipShare);
@@ -707,11 +737,12 @@
 
   // ---- The choice of a server ----
 
-  // How busy a server is by own attempts out, counted in the time that it takes for each. Own counts alone do
-  // not see a slow server that answers in the end, nor do they tell idle servers apart. One that has attempts
-  // out and has said nothing for longer than they explain looks the busier the longer it is silent: guards
-  // against servers that stall, hang or vanish, long before their requests are late. It could harm a server
-  // that has dear requests alone; two of them count no more than a few others.
+  // The load of a server: the attempts of this sidecar in flight, times how long the server takes for each.
+  // The number alone neither shows a slow server that answers in the end nor distinguishes idle servers. A
+  // server with attempts in flight that has not answered for longer than they explain looks the more loaded
+  // the longer it is silent, so servers that stall, hang or vanish are avoided long before their requests are
+  // late. A server that has only expensive requests is rated too high; two of those count no more than a few
+  // others.
   double LoadScore(const PendingRequest& request, const Server& server) const {
     const double mean_answer_time = pools_[server.pool].answer_time.value;
     const double silence = mean_answer_time > 0 ? static_cast<double>(now_ - server.last_answer_at) *
@@ -721,9 +752,9 @@
            std::max(1.0, silence / kSilenceFactor);
   }
 
-  // How long a server takes for the same work, as a multiple of what is usual. What it has answered is
-  // weighed against what others of its kind of machine did. Guards against learning too late: in a large
-  // fleet a sidecar meets each server seldom, and its first answers say little by themselves.
+  // How long a server takes for the same work, as a multiple of what is usual. Its own answers are weighed
+  // against those of all servers of its machine type, since in a large fleet a sidecar meets each server
+  // rarely and its first answers say little.
   double LatencyFactor(const Server& server) const {
     const double prior_weight = kMachineLatencyWeight * std::max(pools_[server.pool].answer_time.value, 1.0);
     const auto machine = machine_latencies_.find(server.info.machine);
@@ -735,13 +766,15 @@
            (server.relative_latency.expected + prior_weight);
   }
 
-  // The less busy of two random window servers. Null if the window holds none that may be used.
+  // Chooses the less loaded of two random servers of the window. Null if the window has no server that may be
+  // used.
   Server* ChooseServer(const PendingRequest& request) {
     const Pool& pool = pools_[pools_[request.pool].ring.empty() ? 1 - request.pool : request.pool];
     const std::size_t window_size = WindowSize(pool, settings_);
     if (window_size == 0) return nullptr;
-    // A young server whose turn has come by its credit, and that does not cost the request its aim: left to
-    // the draws, others win most turns and newcomers stand idle while those that stay are overloaded.
+    // A server in slow start goes first when it has credit, for requests that are no larger than usual and so
+    // do not miss their latency target there. Otherwise others win most draws, and new servers are idle while
+    // the rest are overloaded.
     if (request.relative_work <= 1) {
       const std::size_t first = static_cast<std::size_t>(served_count_) % window_size;
       for (std::size_t i = 0; i < window_size; ++i) {
@@ -765,12 +798,13 @@
       if (best == nullptr || LoadScore(request, server) < LoadScore(request, *best)) best = &server;
     }
     if (best != nullptr) return best;
-    bool all_in_slow_start =
-        served_rate_per_weight_.samples < 1;  // and nothing known to earn credit by: chance has to do
+    // With no rate to earn credit by, chance decides.
+    bool all_in_slow_start = served_rate_per_weight_.samples < 1;
     for (std::size_t i = 0; i < window_size; ++i)
       all_in_slow_start = all_in_slow_start && WarmupFraction(pool.InWindow(i)) < 1;
     const std::size_t start = random_.Below(window_size);
-    // Twice round: what is left alone for a while may serve, and what fails this class hardly ever does.
+    // Two passes: ejected servers may serve in both; servers that fail this class are skipped in the first
+    // one only.
     for (std::size_t i = 0; i < 2 * window_size; ++i) {
       Server& server = pool.InWindow((start + i) % window_size);
       if (!MayUse(request, server) || (i < window_size && SkipForFailures(request, server))) continue;
@@ -780,14 +814,14 @@
     return request.FirstThatMayHaveRun() == nullptr ? nullptr : ChooseOutsideWindow(request);
   }
 
-  // How much of the work a server should draw: its size, as far as it is told, by how fast it takes work.
+  // The probability weight of a server in a draw: its listed weight divided by its relative latency.
   double DrawWeight(const Server& server) const {
     return ListedWeight(server) / std::max(LatencyFactor(server), kMinWeight);
   }
   static double ListedWeight(const Server& server) { return std::max(server.info.weight, kMinWeight); }
 
-  // Chance by size and pace. Guards against small servers that get as much as large ones: two draws alike for
-  // all send the smallest of three still a ninth, which is more than they can do.
+  // Draws a server at random by weight. With equal probabilities two draws send the smallest of three servers
+  // still a ninth of the work, which can be more than it can handle.
   Server& DrawServer(const Pool& pool, std::size_t window_size, double total_weight) {
     double remaining = random_.Unit() * total_weight;
     std::size_t i = 0;
@@ -795,8 +829,9 @@
     return pool.InWindow(i);
   }
 
-  // The exception to the window: what may have run can be repeated only in its group, and the window may hold
-  // no other server of it. Then any listed server of the group will do, for as long as repeats are dropped.
+  // The exception to the window: a request that may have run can be repeated only in its deduplication group,
+  // and the window may have no other server of it. Then any listed server of the group is used, for as long
+  // as repeats are dropped.
   Server* ChooseOutsideWindow(const PendingRequest& request) {
     for (Pool& pool : pools_) {
       const std::size_t start = random_.Below(pool.ring.size());
@@ -808,7 +843,8 @@
     return nullptr;
   }
 
-  // After a refusal another server is tried; after an attempt that may have run, only what drops the repeat.
+  // Whether a request may go to this server: not to the one of its last attempt, if the window has others,
+  // and after an attempt that may have run only to servers that drop the repeat.
   bool MayUse(const PendingRequest& request, const Server& server) const {
     if (!request.attempts.empty() && request.attempts.back().server == &server &&
         WindowSize(pools_[server.pool], settings_) > 1)
@@ -817,14 +853,14 @@
     const RequestClass& c = ClassOf(request);
     if (!MayRepeat(request)) return false;
     if (ran == nullptr || c.repeat == Repeat::kSafe) return true;
-    // Where it ran may be unknown: that is nobody's group.
+    // An unknown zone or cell is no group.
     if (c.dedup_group == DedupGroup::kZone) return ran->zone >= 0 && ran->zone == server.info.zone;
     if (c.dedup_group == DedupGroup::kCell) return ran->cell >= 0 && ran->cell == server.info.cell;
     return true;
   }
 
-  // The share of its full capacity that a server certainly has: it grows from the cold share over the
-  // warm-up.
+  // The share of its full capacity that a server is sure to have. It grows linearly from slow_start_share to
+  // 1 over slow_start_duration.
   double WarmupFraction(const Server& server) const {
     const Micros started = admin_down_.StartTime(server.info.id, server.info.started);
     const Micros age = now_ - started;
@@ -834,12 +870,14 @@
     return settings_.slow_start_share + (1 - settings_.slow_start_share) * elapsed_fraction;
   }
 
-  // The share of the servers that the window holds, and so of the sidecars whose windows hold a server.
+  // The share of the pool's servers that are in the window, which is also the share of sidecars that have a
+  // given server in their window.
   double WindowShare(const Pool& pool) const {
     return static_cast<double>(WindowSize(pool, settings_)) / static_cast<double>(pool.ring.size());
   }
 
-  // What the servers of the window usually serve of this sidecar's requests, by size, while nothing presses.
+  // Counts a served request, and averages the rate per listed weight at which the window usually serves this
+  // sidecar, while all work is admitted.
   void CountServed(const Pool& pool) {
     ++served_count_;
     const double seconds = static_cast<double>(now_ - rate_updated_at_) / kSecond;
@@ -854,12 +892,13 @@
       served_rate_per_weight_.Add(rate / total_weight * WindowShare(pool), kServedRateMemory);
   }
 
-  // A young server is sent its share by size of what this sidecar is *served*, as far as it is warm, times
-  // half of what would push it over: a server that is served well takes its share and more, and the other
-  // half is for chance and for what other sidecars do. Counting answers and not sends guards against an
-  // overload, where sends and retries together exceed what a server can do many times, and against an idle
-  // newcomer that every sidecar prefers at once. What it is usually served in that time counts as well: in an
-  // overload of the others little is served, and newcomers stood idle for as long as that lasted.
+  // Whether a server in slow start may be sent a request; its credit is updated first. Its share is its part
+  // by weight of the requests served to this sidecar, times its warm-up fraction, times half of the overload
+  // factor: a server that works well gets its share and more, and the other half is reserve for random
+  // variation and for other sidecars. Answers are counted, not sends: in an overload, sends and retries
+  // exceed many times what a server can handle, and an idle new server would be preferred by every sidecar at
+  // once. The usual rate of served requests earns credit as well: when the other servers are overloaded
+  // little is served, and new servers would be idle for as long as that lasts.
   bool HasSlowStartCredit(Server& server) {
     const double warmth = WarmupFraction(server);
     if (warmth >= 1) return true;
@@ -878,7 +917,8 @@
     return server.slow_start_credit.available >= 1;
   }
 
-  // The design's wait: full jitter, doubling. Ends the request when nothing more can come of it.
+  // Retries after an exponential backoff with full jitter. Ends the request when no further attempt is
+  // possible in time.
   void RetryLaterOrFinish(PendingIt it) {
     PendingRequest& request = it->second;
     const int exponent = request.retries++;
@@ -896,7 +936,8 @@
     sink_.SetTimer(wait, last_timer_token_);
   }
 
-  // A repeat that has to dial leaves as late as the dial may come up, and has to leave within the window.
+  // Whether a further attempt is safe. A repeat may be sent as late as the end of a dial, and has to be sent
+  // within the deduplication window.
   bool MayRepeat(const PendingRequest& request) const {
     const Attempt* ran = request.FirstThatMayHaveRun();
     const RequestClass& c = ClassOf(request);
@@ -904,14 +945,15 @@
            (c.repeat == Repeat::kDeduplicated && now_ + settings_.dial_timeout < ran->sent + c.dedup_window);
   }
 
-  // The final answer. A refusal promises that a further try does no harm; where that is not certain it fails.
+  // Ends a request: with a refusal where a further try by the client is safe, otherwise with a failure.
   void Finish(PendingIt it) {
     const RequestClass& c = ClassOf(it->second);
     const bool safe_to_retry = it->second.FirstThatMayHaveRun() == nullptr || c.repeat == Repeat::kSafe ||
                                (c.dedup_group == DedupGroup::kAll && MayRepeat(it->second));
     it->second.ended = true;
     if (safe_to_retry) {
-      // Advice beyond half the aim would bring the client back too late to be served in time.
+      // A retry-after beyond half of the latency target would bring the client back too late to be served in
+      // time.
       const Micros max_delay = std::min(settings_.max_retry_after, c.latency_target / 2);
       sink_.Refuse(it->first, max_delay > 0 ? 1 + random_.UpTo(max_delay) : 0);
     } else {
@@ -920,16 +962,16 @@
     RemoveIfDone(it);
   }
 
-  // What is still out of a request that is over serves nobody, and keeps the turn of its key.
+  // Cancels the attempts of an ended request: their answers have no use, and they block its key.
   void CancelRemaining(PendingIt it) {
     if (!settings_.cancel || std::exchange(it->second.cancelled, true)) return;
     for (std::size_t i = 0; i < it->second.attempts.size(); ++i)
       if (it->second.attempts[i].in_flight) sink_.Cancel(it->first, static_cast<int>(i));
   }
 
-  // Forgets a request that is over; the next in its line has the turn then. Guards the order of a key: the
-  // turn is kept while an attempt is unresolved, even if the client is gone, and for the settle time after
-  // doubt.
+  // Removes an ended request; the next one in the queue of its key is sent then. To keep the order of a key,
+  // it stays blocked while an attempt is unresolved, even if the client has disconnected, and for
+  // settle_after_doubt after an outcome that leaves open whether the attempt still runs.
   void RemoveIfDone(PendingIt it) {
     PendingRequest& request = it->second;
     if (!request.ended) return;
@@ -947,6 +989,8 @@
 
   // ---- Discovery ----
 
+  // Schedules the next Subscribe after a random delay of up to `max_delay`, unless an earlier one is
+  // scheduled.
   void ScheduleSubscribe(Micros max_delay) {
     if (!settings_.must_subscribe) return;
     const Micros delay = random_.UpTo(max_delay);
@@ -960,34 +1004,33 @@
   Random random_;
   Micros now_;
   StaleListGuard stale_list_guard_;
-  std::map<std::string, Server> servers_;  // sorted: the ring's order; nodes stay put
-  std::vector<std::string> unlisted_;      // no longer listed, and kept while attempts are out
+  std::map<std::string, Server> servers_;  // in the order of the rings; pointers to servers stay valid
+  std::vector<std::string> unlisted_;      // kept while attempts at them are in flight
   std::uint64_t ring_rebuilds_ = 0;
   AdminDownServers admin_down_;
   std::array<Pool, 2> pools_;
-  std::unordered_map<std::string, PendingRequest> pending_;  // looked up, never walked
+  std::unordered_map<std::string, PendingRequest> pending_;  // by id; never iterated
   std::unordered_map<std::uint64_t, std::string> timers_;
   std::uint64_t last_timer_token_ = kSubscribeToken;
-  std::unordered_map<std::string, std::deque<std::string>>
-      key_queues_;                                    // request ids by key; looked up, never walked
-  std::vector<ClassLoad> class_loads_;                // by class
-  std::map<int, RelativeLatency> machine_latencies_;  // by kind of machine
-  FadingMean mean_value_;                             // of an arriving request
-  FadingMean mean_value_density_;                     // the same by unit of its work
-  bool requests_carry_cost_ = false;                  // requests carry their expected work
-  std::int64_t served_count_ = 0;                     // attempts that succeeded
-  std::int64_t rate_served_count_ = 0;                // the same at served_at_
+  std::unordered_map<std::string, std::deque<std::string>> key_queues_;  // request ids by key; never iterated
+  std::vector<ClassLoad> class_loads_;                                   // by class
+  std::map<int, RelativeLatency> machine_latencies_;                     // by machine type
+  FadingMean mean_value_;                                                // of an arriving request
+  FadingMean mean_value_density_;                                        // the same per unit of work
+  bool requests_carry_cost_ = false;    // at least one request had an expected cost
+  std::int64_t served_count_ = 0;       // attempts that succeeded
+  std::int64_t rate_served_count_ = 0;  // served_count_ at rate_updated_at_
   Micros rate_updated_at_ = 0;
-  FadingMean served_rate_per_weight_;  // usually served in a second by a server of size 1
-  int arrived_count_ = 0;              // requests since the last line of the log ...
-  int refused_count_ = 0;              // ... and what of them was refused on arrival
-  int infeasible_count_ = 0;           // ... for its own size, not for pressure
+  FadingMean served_rate_per_weight_;  // requests served per second by a server of weight 1
+  int arrived_count_ = 0;              // requests since the last admission log line ...
+  int refused_count_ = 0;              // ... those of them that were refused on arrival
+  int infeasible_count_ = 0;           // ... and those that were infeasible
   Micros admission_logged_at_ = 0;
   int failed_subscribes_ = 0;
-  std::optional<Micros> next_subscribe_at_;  // when discovery is asked next, if that is planned
+  std::optional<Micros> next_subscribe_at_;  // empty: none is scheduled
 };
 
-// ---- The outside ----
+// ---- The interface ----
 
 std::unique_ptr<Balancer> Balancer::Create(const Settings& s, std::uint64_t seed, Micros now,
                                            ActionSink& sink, std::string& error) {
@@ -1000,7 +1043,7 @@
       error = "unknown repeat kind in class " + c.name;
     if (c.dedup_group < DedupGroup::kAll || c.dedup_group > DedupGroup::kCell)
       error = "unknown group in class " + c.name;
-    if (!(c.value >= 0)) error = "negative worth in class " + c.name;
+    if (!(c.value >= 0)) error = "negative value in class " + c.name;
   }
   if (s.max_attempts < 1) error = "max_attempts under 1";
   if (s.sidecar_count < 1 || s.rank >= s.sidecar_count) error = "rank outside the number of sidecars";
@@ -1033,7 +1076,7 @@
   state_->AdvanceTo(now).OnRequestBodyComplete(request, budget);
 }
 void Balancer::OnResponseStarted(Micros now, std::string_view, int) {
-  state_->AdvanceTo(now);  // the attempt is the client's now; its outcome still comes
+  state_->AdvanceTo(now);  // no decision: the outcome still follows
 }
 void Balancer::OnOutcome(Micros now, const Outcome& outcome) { state_->AdvanceTo(now).OnOutcome(outcome); }
 void Balancer::OnClientDisconnected(Micros now, std::string_view request) {
--- a/src/tunables.hpp
+++ b/src/tunables.hpp
@@ -1,4 +1,7 @@
-// The tunables of the decision module: each with what it guards against and what was tried.
+// The tunables of the balancer, each with its unit and with what goes wrong at other values.
+//
+// "Latency ratio" is the time of an answer over the latency target of its class. "Admission" is the share of
+// the arriving work that is admitted. A memory is a number of samples: a fading mean weighs about that many.
 #ifndef MERLINRUN_TUNABLES_HPP_
 #define MERLINRUN_TUNABLES_HPP_
 
@@ -12,119 +15,141 @@
 inline constexpr Micros kMillisecond = 1000;
 inline constexpr Micros kSecond = 1000 * kMillisecond;
 
-// Servers in the window. Few enough that each server holds connections from few sidecars, enough to leave a
-// choice.
+// ---- The window and the retries of a request ----
+
+// The minimum size of the window, in servers. Small, so that each server has connections from few sidecars,
+// but large enough to leave a choice.
 inline constexpr std::size_t kMinWindowServers = 3;
-// A busy sidecar's window is wider: this many servers for each attempt it lately had out at once.
+// The window of a busy sidecar is larger: this many servers per attempt of its recent peak in flight.
 inline constexpr double kWindowServersPerInFlight = 0.25;
-// The same where open connections cost nothing. 0.25 to 2 were tried.
+// The same where open connections cost nothing.
 inline constexpr double kWindowServersPerInFlightAtNoCost = 1;
-// The wait before attempt n+1 is random(0, min(cap, base * 2^n)).
+// The delay before attempt n+1 is random(0, min(cap, base * 2^n)).
 inline constexpr Micros kRetryBase = 100 * kMillisecond;
 inline constexpr Micros kRetryCap = 30 * kSecond;
-// The design's stop; the deployment may set a lower limit.
+// The maximum number of attempts of a request; the deployment may set a lower limit.
 inline constexpr int kMaxAttempts = 5;
-// Draws from the window before it is searched from end to end: bounds the work of an ordinary choice.
+// Random draws from the window before it is searched from end to end. Bounds the work of a usual choice.
 inline constexpr int kMaxDraws = 8;
-// Overload. Each outcome moves the share of the work that is let in by kAdmitStep for each whole aim that the
-// answer came before or after its target. kAdmitTarget, in aims, is the target for the dearest work: far
-// under one, as servers choke on their queues before answers come late.
+
+// ---- Admission ----
+
+// The target for the latency ratio of the work with the highest value per unit. It is far below 1, as the
+// queues of overloaded servers fill before answers miss their latency target.
 inline constexpr double kLatencyRatioTarget = 0.27;
-// The same where servers report their load. By figures, not by reasoning: of all settings only this one told
-// the deployments apart that lose by shedding early from those whose servers choke. 0.27 to 0.7 were tried.
+// The same where servers report their load. Of all settings, only this one separates the deployments that
+// lose value by refusing too early from those whose servers become overloaded.
 inline constexpr double kLatencyRatioTargetWithReports = 0.45;
-// There it also stays within this much of what idle servers take: on servers of many cores, idle ones take
-// little and a queue shows early. 0.2 and 0.25 were tried.
+// With load reports, the target is also at most this much above the latency ratio of unloaded servers:
+// servers with many cores answer fast when unloaded, and a queue shows at a low ratio there.
 inline constexpr double kUnloadedRatioMargin = 0.22;
+// Each outcome changes the admission by this much times the difference between the target and its latency
+// ratio.
 inline constexpr double kAdmissionStep = 0.2;
-// A server whose last report told of less core use than this is not overloaded, however late it answers. On
-// the standard days, where nearly all servers are busy, 0.4 to 0.8 came out alike within noise.
+// A server whose last report shows a CPU utilisation below this is not overloaded, however late it answers.
+// Values from 0.4 to 0.8 give the same results within noise on days when nearly all servers are busy.
 inline constexpr double kBusyCpuShare = 0.8;
-// With more attempts out than this each outcome counts less, so that as much is learnt in the time of one
-// answer as by others: else hundreds of outcomes a second swing the share from end to end before servers can
-// show it.
+// With more attempts in flight than this, each outcome counts less, so that the admission changes as much
+// within the time of one answer as it does in sidecars with fewer. Otherwise hundreds of outcomes a second
+// swing it from one limit to the other before servers can react.
 inline constexpr double kHighInFlight = 24;
-// An attempt that was turned away or timed out counts as this many aims.
+// The latency ratio that a refused or timed-out attempt counts as; longer answers count no higher.
 inline constexpr double kMaxLatencyRatio = 1.5;
-// The n-th late outcome in a row counts n times, to this many: one is a dear request or one server's trouble,
-// several are an overload that all share, and servers are overdriven within seconds.
+// The n-th late outcome in a row counts n times, up to this many. A single one may be expensive work or a
+// fault of one server; several are an overload of all servers, which breaks them within seconds.
 inline constexpr double kMaxLateFactor = 4;
-// The target stays this far above the least pressure that was usual, averaged over kUsualMemory answers:
-// guards against refusing cheap work all day where even idle servers take a good part of the aim.
+// The target is at least this multiple of the lowest mean latency ratio seen, the mean being taken over
+// kLatencyRatioMemory answers. Without it, cheap work is refused all day where even unloaded servers use a
+// good part of the latency target.
 inline constexpr double kUnloadedRatioFactor = 1.6;
-// The same, and the target for the dearest work, for a sidecar with many attempts out, between kBusyFrom and
-// kBusyFull of them. It hears of an overload within a fraction of a second where others wait seconds for the
-// next answer, so it need not shed ahead of one: at 300 requests a second and a usual 0.25 aims it refused a
-// tenth of the cheap work all day. From 4, 20 and 32 were tried: the sooner, the more big fleets choke. A
-// headroom of 2.4 to 0.45 aims let servers choke when half of them were drained at once.
+// The same factor, and the target, for a sidecar with many attempts in flight; they apply gradually between
+// kBusyStartInFlight and kBusyFullInFlight attempts. Such a sidecar learns of an overload within a fraction
+// of a second, where others wait seconds for the next answer, so it need not refuse work in advance: with the
+// values for other sidecars, one with 300 requests a second and a usual latency ratio of 0.25 refused a tenth
+// of the cheap work all day. With a start at 4 or 20 attempts more servers of large fleets become overloaded;
+// a factor of 2.4 with a target of 0.45 overloaded the remaining servers when half of them drained at once.
 inline constexpr double kUnloadedRatioFactorBusy = 2.0;
 inline constexpr double kLatencyRatioTargetBusy = 0.34;
 inline constexpr double kBusyStartInFlight = 32;
 inline constexpr double kBusyFullInFlight = 48;
+// Answers over which the mean latency ratio is taken.
 inline constexpr double kLatencyRatioMemory = 30;
-// A sidecar that usually has kSteadyOut attempts out or more has a concurrency limit besides: from kOutFrom
-// times the attempts that it usually has out at each server less is let in, down to the least at kOutFull.
-// Twice the square root of what is usual, for those that have just enough, is chance and no pressure: 1.4.
+// A sidecar with usually kHighInFlight or more attempts in flight also has a concurrency limit. From
+// kConcurrencyLimitStart times its usual number of attempts in flight per server it admits less, down to
+// kMinAdmission at kConcurrencyLimitFull. Where the usual number is just kHighInFlight, chance alone varies
+// it by twice its square root: up to 1.4 times the usual number is no overload.
 inline constexpr double kConcurrencyLimitStart = 1.4;
 inline constexpr double kConcurrencyLimitFull = 2.0;
-// Answers over which it learns what is usual, and how many it takes to begin. Over 1,000 an overload of ten
-// seconds, in which admission goes up and down, taught it a third more.
+// Answers over which the usual number of attempts in flight is averaged, and after which the limit is used.
+// With a memory of 1,000, an overload of ten seconds, during which the admission oscillates, raised the
+// learned number by a third.
 inline constexpr double kInFlightMemory = 5000;
 inline constexpr double kInFlightMinSamples = 500;
-// One good answer recovers no more than it would at this level: servers that choked recover only if they are
-// left alone for seconds, and a lucky answer must not end that. 0.15 and 0.3 were tried.
+// Below this admission each good answer counts as much as at this admission, and no more. Overloaded servers
+// recover only if they get little work for seconds, and a single fast answer must not end that.
 inline constexpr double kMinRecoveryAdmission = 0.15;
-// Never shut out everything: what is let in is the only way to see the end of an overload.
+// Some work is always admitted, as its outcomes are the only way to notice the end of an overload.
 inline constexpr double kMinAdmission = 0.05;
-// Good answers save up to this level, so that one bad answer by chance refuses nobody.
+// Good answers raise the admission up to this level, so that a single bad answer refuses nobody.
 inline constexpr double kMaxAdmission = 1.5;
-// Arrivals over which the mix of classes is remembered, and answers over which a class's usual time is.
+// Arrivals over which the mix of classes is averaged, and answers over which the usual answer time is.
 inline constexpr double kArrivalMemory = 100;
-// Answers over which a server's slowness is remembered, and the most that one answer may say of it.
+
+// ---- Server statistics ----
+
+// Answers over which the relative latency of a server is averaged.
 inline constexpr double kServerLatencyMemory = 8;
-// The same for a sidecar with kSteadyOut attempts out or more, whose servers answer many times in a second:
-// over 8 answers healthy ones came out between 0.4 and 2, by chance, and got their work in these proportions.
+// The same for a sidecar with kHighInFlight or more attempts in flight, whose servers answer many times a
+// second. Over 8 answers the figures of healthy servers ranged from 0.4 to 2 by chance, and so did their
+// shares of the work.
 inline constexpr double kServerLatencyMemoryBusy = 32;
+// An answer counts at most as this multiple of the usual answer time.
 inline constexpr double kMaxServerLatencyFactor = 4;
-// Until a server has answered this often, what its kind of machine usually takes says more of it.
+// The relative latency of a server's machine type weighs as much as this many of the server's own answers.
 inline constexpr double kMachineLatencyWeight = 3;
-// Answers of a class after which it is known how long its work takes.
+// Answers of a class after which its answer time is known well enough to call work infeasible.
 inline constexpr double kInfeasibleMinAnswers = 10;
-// The least that a listed weight or a pace counts.
+// The minimum of a listed weight, and of a relative latency that weights are divided by.
 inline constexpr double kMinWeight = 0.01;
-// A request's least size, as a multiple of what is usual for its class.
+// The minimum relative work of a request, as a multiple of what is usual for its class.
 inline constexpr double kMinRelativeWork = 0.05;
-// A server's answers come about as far apart as the usual time of one over the attempts that it has out. By
-// chance a gap of four times that comes once in fifty.
+// The answers of a server are, on average, as far apart as one answer time divided by its attempts in flight.
+// A gap of this multiple of that occurs by chance once in fifty.
 inline constexpr double kSilenceFactor = 4;
-// A server that fails to connect, resets, times out or lets a request outlive its aim is left alone for
-// random(0, min(kRetryCap, base * 2^n)), n being such events in a row: the request's own wait, applied to a
-// server.
+// A server that fails to connect, resets, times out or misses a latency target is ejected for random(0,
+// min(kRetryCap, base * 2^n)), n being the number of such events in a row: the same backoff as for requests.
 inline constexpr Micros kEjectionBase = 500 * kMillisecond;
-// From this share on a class counts as turned away by a server.
+// From this share of refused requests on, a server counts as refusing a class.
 inline constexpr double kMinRefusalShare = 0.1;
-// Answers over which a server's turning away of a class is remembered: quick to believe, slow to forget.
-// It is never quite believed, so that an attempt now and then finds the end of it.
+// Outcomes over which a server's refusals of a class are averaged: a refusal counts within kRefusalMemory,
+// and fades over kSuccessMemory successes.
 inline constexpr double kRefusalMemory = 3;
 inline constexpr double kSuccessMemory = 10;
+// The maximum share of requests for which a server is skipped, so that an occasional attempt notices the
+// recovery.
 inline constexpr double kMaxSkipShare = 0.95;
-// The same for errors, which one answer in a thousand is anywhere: one alone must not count for much.
+// The memory for errors. Longer than for refusals, as one answer in a thousand is an error on any server: a
+// single one must not count for much.
 inline constexpr double kErrorMemory = 4;
-// At most this part of the window is left alone at once: a slowdown that all share must not empty it.
+// At most this share of the window is ejected at once: a slowdown of all servers must not empty the window.
 inline constexpr double kMaxEjectedShare = 0.5;
-// From this price of a crossing on (share of the result) servers of other zones serve only what their own
-// zone's cannot; below it a choice from all servers gains more than the crossings cost.
+// From this cost of cross-zone requests on, servers of other zones get only the work that the own zone cannot
+// serve. Below it, a choice among all servers gains more than the cross-zone requests cost.
 inline constexpr double kMinCrossZoneCost = 0.05;
-// Seconds over which it is remembered what servers usually serve.
+// Samples, of a second or more each, over which the usual rate of served requests is averaged.
 inline constexpr double kServedRateMemory = 10;
-// Asking discovery again after a failure waits random(0, min(ask_within, base * 2^n)). The base is the spread
-// of the first call of those that start with no server, too.
+
+// ---- Discovery ----
+
+// The next Subscribe after a failure comes after random(0, min(ask_within, base * 2^n)). The base is also the
+// maximum delay of the first one of a sidecar that starts with no server.
 inline constexpr Micros kSubscribeRetryBase = kSecond;
-// The base is the longer the more sidecars there are: they lose discovery together, and it serves one call
-// after another. A fleet asks again at this rate at first, in calls a second.
+// The base grows with the number of sidecars, as they all lose discovery at the same time and it answers one
+// call after the other: this is the initial rate of a fleet's retries, in calls per second.
 inline constexpr std::int64_t kSubscribesPerSecond = 8;
-// Changes of so many servers at once each find their place on the ring; with more, one walk over all servers
-// costs less than moving the ring's rest for each. Both grow alike with the list, so this holds at any size.
+// Up to this many changed servers are moved on the ring one by one. With more, one pass over all servers
+// costs less than shifting the rest of the ring for each. Both costs grow in proportion to the list, so this
+// holds at any size.
 inline constexpr std::size_t kMaxIncrementalChanges = 100;
 
 }  // namespace merlinrun
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -1,4 +1,4 @@
-// What the tests share: a sink that records actions, and settings and lists in short form.
+// Shared by the tests of the balancer: a sink that records actions, and default settings and server lists.
 #ifndef MERLINRUN_TESTS_HARNESS_HPP_
 #define MERLINRUN_TESTS_HARNESS_HPP_
 
@@ -14,14 +14,16 @@
 inline constexpr Micros kMs = 1000;
 inline constexpr Micros kSec = 1000 * kMs;
 
+// An action of the balancer; fields that its kind does not have are empty.
 struct Action {
   enum class Kind { kSend, kCancel, kRefuse, kFail, kTimer, kSubscribe } kind;
   std::string request;
   std::string server;
-  Micros time = 0;  // timeout, retry-after or delay
+  Micros time = 0;  // timeout, retry-after or delay; for kCancel the number of the attempt
   std::uint64_t token = 0;
 };
 
+// Records all actions except log lines.
 class Recorder : public ActionSink {
  public:
   void Send(std::string_view request, const std::string& server, Micros timeout) override {
@@ -42,12 +44,13 @@
   void Subscribe() override { actions.push_back({Action::Kind::kSubscribe, "", ""}); }
   void Log(std::string_view) override {}
 
-  // Takes the actions recorded so far.
+  // Returns the actions recorded since the last call.
   std::vector<Action> Take() { return std::exchange(actions, {}); }
 
   std::vector<Action> actions;
 };
 
+// A class with a latency target of one second.
 inline RequestClass MakeClass(Repeat repeat, DedupGroup group = DedupGroup::kAll) {
   RequestClass c;
   c.name = "c";
@@ -59,7 +62,8 @@
   return c;
 }
 
-// Classes 0, 1 and 2: safe, deduplicated in the zone, never to be repeated. 3: deduplicated everywhere.
+// Classes: 0 is safe to repeat, 1 is deduplicated within the zone, 2 must not be repeated, 3 is deduplicated
+// by all servers.
 inline Settings MakeSettings() {
   Settings s;
   s.classes = {MakeClass(Repeat::kSafe), MakeClass(Repeat::kDeduplicated, DedupGroup::kZone),
@@ -76,7 +80,7 @@
   return s;
 }
 
-// n servers s00, s01, ..., in zones 0 and 1 by turns.
+// n servers s00, s01, ..., alternately in zones 0 and 1, with two servers per cell.
 inline std::vector<ServerInfo> MakeServers(int n) {
   std::vector<ServerInfo> servers;
   for (int i = 0; i < n; ++i) {
