--- a/src/bans.hpp
+++ b/src/admin_down_servers.hpp
@@ -1,6 +1,6 @@
 // The servers that operators have taken administratively down, and those that they have put up again.
-#ifndef MERLINRUN_BANS_HPP_
-#define MERLINRUN_BANS_HPP_
+#ifndef MERLINRUN_ADMIN_DOWN_SERVERS_HPP_
+#define MERLINRUN_ADMIN_DOWN_SERVERS_HPP_
 
 #include <algorithm>
 #include <map>
@@ -63,4 +63,4 @@
 
 }  // namespace merlinrun
 
-#endif  // MERLINRUN_BANS_HPP_
+#endif  // MERLINRUN_ADMIN_DOWN_SERVERS_HPP_
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -13,10 +13,10 @@
 #include <unordered_map>
 #include <utility>
 
-#include "bans.hpp"
+#include "admin_down_servers.hpp"
 #include "merlinrun/balancer.hpp"
-#include "outdated_list.hpp"
 #include "records.hpp"
+#include "stale_list_guard.hpp"
 #include "tunables.hpp"
 
 namespace merlinrun {
--- a/src/outdated_list.hpp
+++ b/src/stale_list_guard.hpp
@@ -1,7 +1,7 @@
 // Pauses dispatch while the list of servers is stale: once the grace period of a drain that this sidecar may
 // have missed is over, any server may be one that has drained.
-#ifndef MERLINRUN_OUTDATED_LIST_HPP_
-#define MERLINRUN_OUTDATED_LIST_HPP_
+#ifndef MERLINRUN_STALE_LIST_GUARD_HPP_
+#define MERLINRUN_STALE_LIST_GUARD_HPP_
 
 #include <algorithm>
 #include <optional>
@@ -52,4 +52,4 @@
 
 }  // namespace merlinrun
 
-#endif  // MERLINRUN_OUTDATED_LIST_HPP_
+#endif  // MERLINRUN_STALE_LIST_GUARD_HPP_
