--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -114,9 +114,9 @@
   double cost_connection = 0;  // of open connections
   double cost_late_fail = 0;
   double cost_handshake = 0;
-  double cost_probe = 0;            // of one probe per request
-  double cost_peer = 0;             // of 256 bytes delivered to peers per request
-  double cost_membership_mode = 0;  // of 100 lines of the server list per request
+  double cost_probe = 0;      // of one probe per request
+  double cost_peer = 0;       // of 256 bytes delivered to peers per request
+  double cost_discovery = 0;  // of 100 lines of the server list per request
   double cost_moves = 0;
   double cost_origin = 0;
 
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -248,7 +248,7 @@
   s.cost_handshake = pairs.Number("costs.handshake", 0);
   s.cost_probe = pairs.Number("costs.probe", 0);
   s.cost_peer = pairs.Number("costs.peer", 0);
-  s.cost_membership_mode = pairs.Number("costs.membership_mode", 0);
+  s.cost_discovery = pairs.Number("costs.membership_mode", 0);
   s.cost_moves = pairs.Number("costs.moves", 0);
   s.cost_origin = pairs.Number("costs.origin", 0);
   s.goal_whole = pairs.Number("goal.whole", 1);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -175,7 +175,7 @@
   EXPECT_EQ(s.cost_handshake, 0.1);
   EXPECT_EQ(s.cost_probe, 0.2);
   EXPECT_EQ(s.cost_peer, 0.3);
-  EXPECT_EQ(s.cost_membership_mode, 0.4);
+  EXPECT_EQ(s.cost_discovery, 0.4);
   EXPECT_EQ(s.cost_moves, 0.5);
   EXPECT_EQ(s.cost_origin, 0.6);
   EXPECT_EQ(s.goal_whole, 0.7);
