--- a/src/drill/host.cpp
+++ b/src/drill/host.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::string_view kPrefix = "sidecar/";
-constexpr std::int64_t kMostTimer = 71LL * 60 * 1'000'000;  // the wire's limit
+constexpr std::int64_t kMaxTimer = 71LL * 60 * 1'000'000;  // the protocol's limit
 
-// Writes the actions of one instance as lines.
+// Appends the actions of one instance to the reply, one a line.
 class LineSink : public ActionSink {
  public:
   LineSink(std::string& reply, std::string_view name) : reply_(reply), name_(name) {}
@@ -26,7 +26,7 @@
   }
   void Fail(std::string_view request) override { Begin("FINISH_ERROR").Word(request).End(); }
   void SetTimer(Micros delay, std::uint64_t token) override {
-    Begin("SLEEP").Number(std::clamp<std::int64_t>(delay, 0, kMostTimer)).Number(token).End();
+    Begin("SLEEP").Number(std::clamp<std::int64_t>(delay, 0, kMaxTimer)).Number(token).End();
   }
   void Subscribe() override { Begin("OBSERVE").Word("1").End(); }
   void Log(std::string_view text) override { Begin("TRACE").Word(text).End(); }
@@ -69,7 +69,7 @@
     if (balancer_ == nullptr) sink_.Fatal("settings: " + error);
   }
 
-  // Runs an event in the decision code; what it throws is reported, not passed on.
+  // Delivers an event to the balancer. An exception is reported as FATAL and stops this instance alone.
   template <typename Event>
   void Run(Event event) {
     if (balancer_ == nullptr) return;
@@ -80,7 +80,7 @@
       balancer_ = nullptr;
     }
   }
-  void Servers(Micros now, ListUpdate::Kind kind, std::int64_t version, const std::vector<Row>* rows) {
+  void UpdateServers(Micros now, ListUpdate::Kind kind, std::int64_t version, const std::vector<Row>* rows) {
     std::vector<ServerInfo> servers;
     if (rows != nullptr) {
       servers.reserve(rows->size());
@@ -92,15 +92,15 @@
     }
     Run([&](Balancer& b) { b.OnServers(now, {kind, version, servers}); });
   }
-  int ClassIndex(std::string_view name) const { return Named(wire_.settings.classes, name, "class"); }
+  int ClassIndex(std::string_view name) const { return FindByName(wire_.settings.classes, name, "class"); }
   int TenantIndex(std::string_view name) const {
     if (name == "-" || name == "0") return -1;
-    return Named(wire_.settings.tenants, name, "tenant");
+    return FindByName(wire_.settings.tenants, name, "tenant");
   }
 
  private:
   template <typename List>
-  static int Named(const List& list, std::string_view name, const char* what) {
+  static int FindByName(const List& list, std::string_view name, const char* what) {
     for (std::size_t i = 0; i < list.size(); ++i)
       if (list[i].name == name) return static_cast<int>(i);
     throw WireError(std::string(what) + " '" + std::string(name.substr(0, 80)) + "': not in the settings");
@@ -114,7 +114,7 @@
 Host::Host() = default;
 Host::~Host() = default;
 
-bool Host::Line(std::string_view line) {
+bool Host::HandleLine(std::string_view line) {
   ++line_number_;
   try {
     Fields fields(line);
@@ -123,21 +123,21 @@
       if (in_batch_) throw WireError("a batch is open already");
       const Micros now = fields.NonNegative("clock");
       fields.End();
-      if (any_batch_ && now < now_) throw WireError("the clock went backwards");
+      if (has_clock_ && now < now_) throw WireError("the clock went backwards");
       now_ = now;
-      any_batch_ = in_batch_ = true;
+      has_clock_ = in_batch_ = true;
       reply_.clear();
       return false;
     }
     if (!in_batch_) throw WireError("outside a batch");
-    if (rows_due_ > 0 && verb != "ROW") throw WireError("rows of the list are missing");
+    if (missing_rows_ > 0 && verb != "ROW") throw WireError("rows of the list are missing");
     if (verb == "COMMIT") {
       fields.End();
       in_batch_ = false;
       reply_.append("DONE\n");
       return true;
     }
-    Dispatch(verb, fields);
+    DispatchEvent(verb, fields);
     return false;
   } catch (const WireError& error) {
     const std::string verb(line.substr(0, std::min<std::size_t>(line.find(' '), 80)));
@@ -145,9 +145,9 @@
   }
 }
 
-void Host::Dispatch(std::string_view verb, Fields& fields) {
+void Host::DispatchEvent(std::string_view verb, Fields& fields) {
   if (verb == "ARRIVAL") {
-    Instance& instance = Find(fields);
+    Instance& instance = FindInstance(fields);
     Request request;
     request.id = fields.Word("call");
     const auto cost = fields.OptionalInt("cost_us");
@@ -166,7 +166,7 @@
     request.request_class = instance.ClassIndex(request_class);
     instance.Run([&](Balancer& b) { b.OnRequest(now_, request); });
   } else if (verb == "RESOLVED") {
-    Instance& instance = Find(fields);
+    Instance& instance = FindInstance(fields);
     Outcome outcome;
     outcome.request = fields.Word("call");
     outcome.attempt = static_cast<int>(std::min<std::int64_t>(fields.NonNegative("leg"), 1'000'000));
@@ -178,17 +178,17 @@
     fields.End();
     instance.Run([&](Balancer& b) { b.OnOutcome(now_, outcome); });
   } else if (verb == "DUE") {
-    Instance& instance = Find(fields);
+    Instance& instance = FindInstance(fields);
     const std::uint64_t token = fields.Unsigned("ref");
     fields.End();
     instance.Run([&](Balancer& b) { b.OnTimer(now_, token); });
   } else if (verb == "TIMED_OUT_CLIENT") {
-    Instance& instance = Find(fields);
+    Instance& instance = FindInstance(fields);
     const std::string_view request = fields.Word("call");
     fields.End();
     instance.Run([&](Balancer& b) { b.OnClientDisconnected(now_, request); });
   } else if (verb == "HEADERS") {
-    Instance& instance = Find(fields);
+    Instance& instance = FindInstance(fields);
     const std::string_view request = fields.Word("call");
     const auto attempt = static_cast<int>(std::min<std::int64_t>(fields.NonNegative("leg"), 1'000'000));
     fields.Word("server");
@@ -200,20 +200,20 @@
   } else if (verb == "TABLE") {
     const std::int64_t table = fields.NonNegative("page");
     if (table >= static_cast<std::int64_t>(kTables)) throw WireError("page: over 15");
-    rows_due_ = fields.NonNegative("rows");
+    missing_rows_ = fields.NonNegative("rows");
     fields.End();
     table_ = static_cast<std::size_t>(table);
     tables_[table_].clear();
   } else if (verb == "DISCOVERY") {
-    Discovery(fields);
+    UpdateServers(fields);
   } else if (verb == "PROVISION") {
     Provision(fields);
   } else if (verb == "DOWN") {
-    const std::int64_t number = InstanceNumber(fields);
+    const std::int64_t number = ParseInstanceNumber(fields);
     fields.End();
     if (instances_.erase(number) == 0) throw WireError("no such instance");
   } else if (verb == "ECHO") {
-    Instance& instance = Find(fields);
+    Instance& instance = FindInstance(fields);
     ProbeResult probe;
     probe.server = fields.Word("server");
     probe.result = ParseResult(fields.Word("outcome"));
@@ -222,7 +222,7 @@
     fields.End();
     instance.Run([&](Balancer& b) { b.OnProbed(now_, probe); });
   } else if (verb == "MESSAGE") {
-    Instance& instance = Find(fields);
+    Instance& instance = FindInstance(fields);
     const auto sender =
         static_cast<std::uint32_t>(std::min<std::int64_t>(fields.NonNegative("sender"), 1'000'000'000));
     const std::string bytes = ParseHex(fields.Word("blob"));
@@ -234,7 +234,7 @@
 }
 
 void Host::AddRow(Fields& fields) {
-  if (rows_due_ == 0) throw WireError("outside a list");
+  if (missing_rows_ == 0) throw WireError("outside a list");
   Row row;
   row.machine = fields.Word("generation_hw");
   row.zone = fields.Word("failure_domain");
@@ -247,39 +247,39 @@
   row.info.state = ParseState(fields.Word("readiness"));
   fields.End();
   tables_[table_].push_back(std::move(row));
-  --rows_due_;
+  --missing_rows_;
 }
 
 void Host::Provision(Fields& fields) {
   const std::string_view name = Fields(fields).Word("sidecar");
-  const std::int64_t number = InstanceNumber(fields);
+  const std::int64_t number = ParseInstanceNumber(fields);
   const std::uint64_t seed = fields.Unsigned("seed");
   WireSettings wire = ParseSettings(fields.Rest());
   instances_[number] = std::make_unique<Instance>(name, seed, std::move(wire), now_, reply_);
 }
 
-void Host::Discovery(Fields& fields) {
-  Instance& instance = Find(fields);
+void Host::UpdateServers(Fields& fields) {
+  Instance& instance = FindInstance(fields);
   const std::string_view kind = fields.Word("kind");
   const std::int64_t version = fields.OptionalInt("version").value_or(0);
   const std::int64_t table = fields.OptionalInt("page").value_or(0);
   fields.End();
-  if (kind == "X") return instance.Servers(now_, ListUpdate::Kind::kFailed, version, nullptr);
+  if (kind == "X") return instance.UpdateServers(now_, ListUpdate::Kind::kFailed, version, nullptr);
   if (table < 0 || table >= static_cast<std::int64_t>(kTables)) throw WireError("page: outside 0 to 15");
   const std::vector<Row>* rows = &tables_[static_cast<std::size_t>(table)];
-  if (kind == "D") return instance.Servers(now_, ListUpdate::Kind::kDelta, version, rows);
-  if (kind == "F") return instance.Servers(now_, ListUpdate::Kind::kFull, version, rows);
-  if (kind == "C") return instance.Servers(now_, ListUpdate::Kind::kStale, version, rows);
+  if (kind == "D") return instance.UpdateServers(now_, ListUpdate::Kind::kDelta, version, rows);
+  if (kind == "F") return instance.UpdateServers(now_, ListUpdate::Kind::kFull, version, rows);
+  if (kind == "C") return instance.UpdateServers(now_, ListUpdate::Kind::kStale, version, rows);
   throw WireError("kind: not D, F, C or X");
 }
 
-Host::Instance& Host::Find(Fields& fields) {
-  const auto it = instances_.find(InstanceNumber(fields));
+Host::Instance& Host::FindInstance(Fields& fields) {
+  const auto it = instances_.find(ParseInstanceNumber(fields));
   if (it == instances_.end()) throw WireError("no such instance");
   return *it->second;
 }
 
-std::int64_t Host::InstanceNumber(Fields& fields) {
+std::int64_t Host::ParseInstanceNumber(Fields& fields) {
   const std::string_view name = fields.Word("sidecar");
   if (name.substr(0, kPrefix.size()) != kPrefix) throw WireError("sidecar: not sidecar/NUMBER");
   return Fields(name.substr(kPrefix.size())).NonNegative("sidecar");
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,4 +1,6 @@
-// Reads batches from standard input, writes one flushed reply for each to standard output.
+// Runs the decision module for a simulator: reads batches of events from standard input and writes one reply
+// to each, unbuffered, to standard output.
+//
 // Exit status: 0 at the end of input, 1 if the reply cannot be written, 2 on malformed input.
 #include <unistd.h>
 
@@ -29,7 +31,7 @@
 int Serve() {
   merlinrun::drill::Host host;
   std::vector<char> chunk(kReadSize);
-  std::string partial;  // a line whose end has not been read yet
+  std::string partial;  // the beginning of a line whose end has not been read yet
   for (;;) {
     const ssize_t got = ::read(STDIN_FILENO, chunk.data(), chunk.size());
     if (got < 0 && errno == EINTR) continue;
@@ -42,13 +44,14 @@
     for (std::size_t end = rest.find('\n'); end != std::string_view::npos; end = rest.find('\n')) {
       std::string_view line = rest.substr(0, end);
       if (!partial.empty()) line = partial.append(line);
-      if (host.Line(line) && !WriteAll(host.reply())) return 1;
+      if (host.HandleLine(line) && !WriteAll(host.reply())) return 1;
       partial.clear();
       rest.remove_prefix(end + 1);
     }
     partial.append(rest);
   }
-  if (!partial.empty()) host.Line(partial);  // its end was cut off, and it says what is wrong if it must
+  // If the truncated last line is invalid, this throws an error with its number.
+  if (!partial.empty()) host.HandleLine(partial);
   if (host.in_batch() || !partial.empty()) {
     std::fprintf(stderr, "the input ends within a batch\n");
     return 2;
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -10,9 +10,9 @@
 namespace merlinrun::drill {
 namespace {
 
-constexpr std::int64_t kMostTime = std::int64_t{1} << 60;  // two of them can be added
+constexpr std::int64_t kMaxTime = std::int64_t{1} << 60;  // the sum of two does not overflow
 
-[[noreturn]] void Bad(std::string_view what, std::string_view value, std::string_view why) {
+[[noreturn]] void ThrowInvalid(std::string_view what, std::string_view value, std::string_view why) {
   std::string text(what);
   text.append(" '").append(value.substr(0, 80)).append("': ").append(why);
   throw WireError(text);
@@ -22,20 +22,21 @@
 T Parse(std::string_view word, std::string_view what, std::string_view kind) {
   T value{};
   const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
-  if (error != std::errc() || end != word.data() + word.size()) Bad(what, word, kind);
+  if (error != std::errc() || end != word.data() + word.size()) ThrowInvalid(what, word, kind);
   return value;
 }
 
-// The value that a word stands for.
+// Maps a word to a value; throws with `error` if it is none of the choices.
 template <typename T>
-T OneOf(std::string_view word, std::string_view what, std::string_view otherwise,
-        std::initializer_list<std::pair<std::string_view, T>> choices) {
+T ParseEnum(std::string_view word, std::string_view what, std::string_view error,
+            std::initializer_list<std::pair<std::string_view, T>> choices) {
   for (const auto& [name, value] : choices)
     if (word == name) return value;
-  Bad(what, word, otherwise);
+  ThrowInvalid(what, word, error);
 }
 
-// path=value pairs by path. Values are parsed as they are asked for, so unknown keys cost nothing.
+// path=value pairs, found by path. A value is parsed when it is read, so unknown paths are ignored. `-`
+// stands for a value that is not given.
 class Pairs {
  public:
   explicit Pairs(std::string_view text) {
@@ -44,40 +45,40 @@
       const std::string_view pair = text.substr(0, space);
       text.remove_prefix(space == std::string_view::npos ? text.size() : space + 1);
       const std::size_t equals = pair.find('=');
-      if (equals == std::string_view::npos || equals == 0) Bad("setting", pair, "not path=value");
+      if (equals == std::string_view::npos || equals == 0) ThrowInvalid("setting", pair, "not path=value");
       values_[pair.substr(0, equals)] = pair.substr(equals + 1);
     }
   }
-  std::string_view Text(const std::string& path, std::string_view otherwise) const {
+  std::string_view Text(const std::string& path, std::string_view fallback) const {
     const auto it = values_.find(path);
-    return it == values_.end() || it->second == "-" ? otherwise : it->second;
+    return it == values_.end() || it->second == "-" ? fallback : it->second;
   }
-  double Number(const std::string& path, double otherwise) const {
+  double Number(const std::string& path, double fallback) const {
     const std::string_view text = Text(path, "");
-    if (text.empty()) return otherwise;
+    if (text.empty()) return fallback;
     const double value = Parse<double>(text, path, "not a number");
-    if (!std::isfinite(value)) Bad(path, text, "not a finite number");
+    if (!std::isfinite(value)) ThrowInvalid(path, text, "not a finite number");
     return value;
   }
-  std::int64_t Int(const std::string& path, std::int64_t otherwise) const {
+  std::int64_t Int(const std::string& path, std::int64_t fallback) const {
     const std::string_view text = Text(path, "");
-    if (text.empty()) return otherwise;
+    if (text.empty()) return fallback;
     const auto value = Parse<std::int64_t>(text, path, "not a whole number");
-    if (value > kMostTime || value < -kMostTime) Bad(path, text, "out of range");
+    if (value > kMaxTime || value < -kMaxTime) ThrowInvalid(path, text, "out of range");
     return value;
   }
-  // A whole number small enough to count things of this process with.
-  int Small(const std::string& path, int otherwise) const {
-    const std::int64_t value = Int(path, otherwise);
-    if (value < 0 || value > 1'000'000'000) Bad(path, Text(path, ""), "out of range");
+  // A whole number from 0 to a billion, such as a count or an index.
+  int Count(const std::string& path, int fallback) const {
+    const std::int64_t value = Int(path, fallback);
+    if (value < 0 || value > 1'000'000'000) ThrowInvalid(path, Text(path, ""), "out of range");
     return static_cast<int>(value);
   }
-  bool Bool(const std::string& path, bool otherwise) const {
+  bool Bool(const std::string& path, bool fallback) const {
     const std::string_view text = Text(path, "");
-    if (text.empty()) return otherwise;
+    if (text.empty()) return fallback;
     if (text == "true" || text == "1") return true;
     if (text == "false" || text == "0") return false;
-    Bad(path, text, "not a bool");
+    ThrowInvalid(path, text, "not a bool");
   }
 
  private:
@@ -97,7 +98,7 @@
 RequestClass ParseClass(const Pairs& pairs, const std::string& at) {
   RequestClass c;
   c.name = pairs.Text(at + "name", "");
-  if (c.name.empty()) Bad(at + "name", "", "a class needs a name");
+  if (c.name.empty()) ThrowInvalid(at + "name", "", "a class needs a name");
   c.latency_target = pairs.Int(at + "aim_us", 0);
   c.latency_target_stretch = pairs.Number(at + "aim_stretch", 0);
   c.deadline = pairs.Int(at + "hard_limit_us", 0);
@@ -106,11 +107,11 @@
   c.dedup_window = pairs.Int(at + "window_us", 0);
   c.streamed = pairs.Bool(at + "stream", false);
   c.sequential = pairs.Bool(at + "sequential", false);
-  c.repeat = OneOf<Repeat>(pairs.Text(at + "repeat", ""), at + "repeat", "unknown repeat kind",
-                           {{"idempotent", Repeat::kSafe},
-                            {"deduplicated", Repeat::kDeduplicated},
-                            {"at_most_once", Repeat::kNever}});
-  c.dedup_group = OneOf<DedupGroup>(
+  c.repeat = ParseEnum<Repeat>(pairs.Text(at + "repeat", ""), at + "repeat", "unknown repeat kind",
+                               {{"idempotent", Repeat::kSafe},
+                                {"deduplicated", Repeat::kDeduplicated},
+                                {"at_most_once", Repeat::kNever}});
+  c.dedup_group = ParseEnum<DedupGroup>(
       pairs.Text(at + "group", "all"), at + "group", "unknown group",
       {{"all", DedupGroup::kAll}, {"zone", DedupGroup::kZone}, {"cell", DedupGroup::kCell}});
   return c;
@@ -153,8 +154,8 @@
 std::int64_t Fields::NonNegative(const char* what) {
   const std::string_view word = Word(what);
   const auto value = Parse<std::int64_t>(word, what, "not a whole number");
-  if (value < 0) Bad(what, word, "negative");
-  if (value > kMostTime) Bad(what, word, "out of range");
+  if (value < 0) ThrowInvalid(what, word, "negative");
+  if (value > kMaxTime) ThrowInvalid(what, word, "out of range");
   return value;
 }
 
@@ -165,7 +166,7 @@
 double Fields::Number(const char* what) {
   const std::string_view word = Word(what);
   const auto value = Parse<double>(word, what, "not a number");
-  if (!std::isfinite(value)) Bad(what, word, "not a finite number");
+  if (!std::isfinite(value)) ThrowInvalid(what, word, "not a finite number");
   return value;
 }
 
@@ -173,7 +174,7 @@
   const std::string_view word = Word(what);
   if (word == "1") return true;
   if (word == "0") return false;
-  Bad(what, word, "not 1 or 0");
+  ThrowInvalid(what, word, "not 1 or 0");
 }
 
 std::string_view Fields::Rest() {
@@ -182,7 +183,7 @@
 }
 
 void Fields::End() {
-  if (any_left_) Bad("line", rest_, "more than it should hold");
+  if (any_left_) ThrowInvalid("end of line", rest_, "unexpected extra fields");
 }
 
 WireSettings ParseSettings(std::string_view text) {
@@ -191,47 +192,47 @@
   Settings& s = out.settings;
   out.zones = SplitCommas(pairs.Text("azs", ""));
   out.machines = SplitCommas(pairs.Text("host_types", ""));
-  const int classes = pairs.Small("grades.count", 0);
+  const int classes = pairs.Count("grades.count", 0);
   for (int i = 0; i < classes; ++i)
     s.classes.push_back(ParseClass(pairs, "grades." + std::to_string(i) + "."));
-  const int tenants = pairs.Small("tenants.count", 0);
+  const int tenants = pairs.Count("tenants.count", 0);
   for (int i = 0; i < tenants; ++i) {
     const std::string at = "tenants." + std::to_string(i) + ".";
     Tenant tenant;
     tenant.name = pairs.Text(at + "name", "");
-    if (tenant.name.empty()) Bad(at + "name", "", "a tenant needs a name");
+    if (tenant.name.empty()) ThrowInvalid(at + "name", "", "a tenant needs a name");
     tenant.share = pairs.Number(at + "share", 0);
     tenant.quota_per_s = pairs.Number(at + "quota_per_s", 0);
     s.tenants.push_back(std::move(tenant));
   }
   s.zone = IndexOf(out.zones, pairs.Text("my_zone", ""));
-  s.rank = static_cast<std::uint32_t>(pairs.Small("rank", 0));
-  s.sidecar_count = static_cast<std::uint32_t>(pairs.Small("siblings", 1));
+  s.rank = static_cast<std::uint32_t>(pairs.Count("rank", 0));
+  s.sidecar_count = static_cast<std::uint32_t>(pairs.Count("siblings", 1));
   s.tick = pairs.Int("quantum_us", 0);
-  s.max_attempts = pairs.Small("allowed.max_attempts", 1);
+  s.max_attempts = pairs.Count("allowed.max_attempts", 1);
   s.parallel_attempts = pairs.Bool("allowed.parallel_tries", false);
   s.cancel = pairs.Bool("allowed.cancel", false);
   s.peers = pairs.Bool("allowed.peers", false);
   s.probes = pairs.Bool("allowed.probes", false);
   s.max_retry_after =
       pairs.Bool("allowed.retry_after", false) ? pairs.Int("allowed.max_retry_after_us", 0) : 0;
-  s.streams_per_connection = pairs.Small("allowed.streams_per_conn", 1);
+  s.streams_per_connection = pairs.Count("allowed.streams_per_conn", 1);
   s.connection_idle = pairs.Int("allowed.conn_idle_us", 0);
   s.dial_timeout = pairs.Int("allowed.dial_timeout_us", 0);
   s.max_open_requests = pairs.Int("allowed.open_cap", 0);
   s.cpu_per_s = pairs.Int("allowed.cpu_us_per_s", 0);
   s.cpu_per_request = pairs.Number("allowed.cpu_us_per_request", 0);
   s.clients_mark_repeats = pairs.Bool("callers.marks_retry", false);
-  s.reports = OneOf<Settings::Reports>(pairs.Text("telemetry.via", "none"), "telemetry.via", "unknown",
-                                       {{"none", Settings::Reports::kNone},
-                                        {"answers", Settings::Reports::kInAnswers},
-                                        {"probe", Settings::Reports::kInProbes}});
+  s.reports = ParseEnum<Settings::Reports>(pairs.Text("telemetry.via", "none"), "telemetry.via", "unknown",
+                                           {{"none", Settings::Reports::kNone},
+                                            {"answers", Settings::Reports::kInAnswers},
+                                            {"probe", Settings::Reports::kInProbes}});
   s.report_fields = SplitCommas(pairs.Text("telemetry.fields", ""));
-  s.weights = OneOf<Settings::Weights>(pairs.Text("weights", "none"), "weights", "unknown",
-                                       {{"none", Settings::Weights::kNone},
-                                        {"nominal", Settings::Weights::kNominal},
-                                        {"rough", Settings::Weights::kRough},
-                                        {"live", Settings::Weights::kLive}});
+  s.weights = ParseEnum<Settings::Weights>(pairs.Text("weights", "none"), "weights", "unknown",
+                                           {{"none", Settings::Weights::kNone},
+                                            {"nominal", Settings::Weights::kNominal},
+                                            {"rough", Settings::Weights::kRough},
+                                            {"live", Settings::Weights::kLive}});
   s.must_subscribe = pairs.Text("membership_mode", "automatic") == "subscribe";
   s.ask_within = pairs.Int("rules.ask_within_us", 0);
   s.drain_grace = pairs.Int("rules.drain_grace_us", 0);
@@ -261,15 +262,15 @@
 }
 
 Result ParseResult(std::string_view word) {
-  return OneOf<Result>(word, "outcome", "unknown",
-                       {{"success", Result::kSuccess},
-                        {"failure", Result::kError},
-                        {"overloaded", Result::kRefused},
-                        {"timed_out", Result::kTimeout},
-                        {"unreachable", Result::kUnreachable},
-                        {"broken", Result::kReset},
-                        {"withdrawn", Result::kCancelled},
-                        {"void", Result::kNeverSent}});
+  return ParseEnum<Result>(word, "outcome", "unknown",
+                           {{"success", Result::kSuccess},
+                            {"failure", Result::kError},
+                            {"overloaded", Result::kRefused},
+                            {"timed_out", Result::kTimeout},
+                            {"unreachable", Result::kUnreachable},
+                            {"broken", Result::kReset},
+                            {"withdrawn", Result::kCancelled},
+                            {"void", Result::kNeverSent}});
 }
 
 std::optional<double>* LoadField(LoadReport& load, std::string_view name) {
@@ -283,11 +284,11 @@
   if (text == "-") return load;
   for (const std::string& pair : SplitCommas(text)) {
     const std::size_t colon = pair.find(':');
-    if (colon == std::string::npos || colon == 0) Bad("stats", pair, "not name:value");
+    if (colon == std::string::npos || colon == 0) ThrowInvalid("stats", pair, "not name:value");
     const std::string_view value = std::string_view(pair).substr(colon + 1);
     if (value == "-") continue;
     const double number = Parse<double>(value, "stats", "not a number");
-    if (!std::isfinite(number) || number < 0) Bad("stats", pair, "not a finite number from 0");
+    if (!std::isfinite(number) || number < 0) ThrowInvalid("stats", pair, "not a finite number from 0");
     if (auto* const field = LoadField(load, std::string_view(pair).substr(0, colon))) *field = number;
   }
   return load;
@@ -296,21 +297,21 @@
 std::string ParseHex(std::string_view digits) {
   std::string bytes;
   if (digits == "-") return bytes;
-  if (digits.size() % 2 != 0) Bad("blob", digits, "not whole bytes in hex");
+  if (digits.size() % 2 != 0) ThrowInvalid("blob", digits, "not whole bytes in hex");
   for (std::size_t i = 0; i < digits.size(); i += 2) {
     const int high = HexDigit(digits[i]);
     const int low = HexDigit(digits[i + 1]);
-    if (high < 0 || low < 0) Bad("blob", digits, "not hex digits");
+    if (high < 0 || low < 0) ThrowInvalid("blob", digits, "not hex digits");
     bytes.push_back(static_cast<char>(high * 16 + low));
   }
   return bytes;
 }
 
 ServerInfo::State ParseState(std::string_view word) {
-  return OneOf<ServerInfo::State>(word, "readiness", "unknown",
-                                  {{"healthy", ServerInfo::State::kHealthy},
-                                   {"cordoned", ServerInfo::State::kDraining},
-                                   {"deregistered", ServerInfo::State::kGone}});
+  return ParseEnum<ServerInfo::State>(word, "readiness", "unknown",
+                                      {{"healthy", ServerInfo::State::kHealthy},
+                                       {"cordoned", ServerInfo::State::kDraining},
+                                       {"deregistered", ServerInfo::State::kGone}});
 }
 
 int IndexOf(const std::vector<std::string>& names, std::string_view name) {
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -1,4 +1,5 @@
-// The text wire of the bench: fields of a line, the settings, and the actions as lines. Takes no decisions.
+// Parsers of the simulator's line protocol: the fields of a line and the settings. The sidecar reads the same
+// settings from its configuration.
 #ifndef MERLINRUN_DRILL_WIRE_HPP_
 #define MERLINRUN_DRILL_WIRE_HPP_
 
@@ -12,48 +13,53 @@
 
 namespace merlinrun::drill {
 
-// What is wrong with a line; the host adds where it stands.
+// Says what is wrong with a line. Host adds the line's number and verb.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The fields of one line, taken from left to right.
+// The space-separated fields of one line, read from left to right. `what` names the field in errors. Each
+// function throws WireError if its field is missing or invalid.
 class Fields {
  public:
   explicit Fields(std::string_view line) : rest_(line) {}
   std::string_view Word(const char* what);                    // never empty
-  std::optional<std::int64_t> OptionalInt(const char* what);  // `-` is absent
+  std::optional<std::int64_t> OptionalInt(const char* what);  // `-` means absent
   std::int64_t Int(const char* what);
   std::int64_t NonNegative(const char* what);
   std::uint64_t Unsigned(const char* what);
   double Number(const char* what);
   bool Bool(const char* what);
-  std::string_view Rest();  // all that is left
-  void End();               // nothing may be left
+  std::string_view Rest();  // all remaining fields
+  void End();               // throws if any field remains
 
  private:
   std::string_view rest_;
   bool any_left_ = true;
 };
 
-// What the adapter needs of an instance's settings: the module's own, and the names that the wire uses for
-// indices.
+// The settings of one sidecar: those of the decision module, and the names whose positions are its indices of
+// zones and machine types.
 struct WireSettings {
   Settings settings;
   std::vector<std::string> zones;
   std::vector<std::string> machines;
 };
 
+// Parses settings in the form path=value, separated by spaces. Ignores unknown paths; absent ones have
+// defaults.
 WireSettings ParseSettings(std::string_view pairs);
 Result ParseResult(std::string_view word);
-// The value of that name; null if there is none.
+// Returns the field of a load report by its name in reports, or null if the name is unknown.
 std::optional<double>* LoadField(LoadReport& load, std::string_view name);
-LoadReport ParseLoad(std::string_view pairs);   // `-` is no report
-std::string ParseHex(std::string_view digits);  // `-` is empty
+// Parses name:value pairs, separated by commas. `-` means no report.
+LoadReport ParseLoad(std::string_view pairs);
+// Decodes bytes from hexadecimal digits. `-` means no bytes.
+std::string ParseHex(std::string_view digits);
 ServerInfo::State ParseState(std::string_view word);
 
-// The index of a name in a list, or -1.
+// Returns the index of a name in a list, or -1 if it is not there.
 int IndexOf(const std::vector<std::string>& names, std::string_view name);
 
 }  // namespace merlinrun::drill
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,5 +1,5 @@
-// Follows the list of servers: one watch, reopened with jittered backoff when it ends, falls silent or says
-// something that cannot be understood.
+// The client of the discovery service: follows the list of servers over one watch, which it reopens with
+// jittered backoff when the watch ends, falls silent or delivers invalid data.
 #ifndef MERLINRUN_NET_DISCOVERY_HPP_
 #define MERLINRUN_NET_DISCOVERY_HPP_
 
@@ -21,29 +21,31 @@
 
 namespace merlinrun::net {
 
+// Receives the list of servers from discovery and passes each update to its owner. Makes one call at a time:
+// for the full list while the generation is unknown, then a watch for what changes after it.
 class Discovery {
  public:
-  static constexpr std::int64_t kUnknown = -1;  // a generation: the whole list is asked for
+  static constexpr std::int64_t kUnknown = -1;  // generation: no list yet, so the full list is requested
 
   struct Timing {
-    Micros connect = 2'000'000;       // from a call to its connection
-    Micros silence = 2'700'000;       // an empty line comes every 2 s
-    Micros answer = 4'500'000;        // from a call to its answer, if nothing presses, and for an object
-    Micros told_unheard = 6'000'000;  // what a watch or a failed call misses binds so long after its last ...
-    Micros told_anew = 4'000'000;   // ... word or its start, and what another discovery tells after a switch
-    Micros backoff_base = 200'000;  // the wait before the n-th reopening is random(0, base * 2^n) ...
-    Micros backoff_most = 1'000'000;  // ... and no longer than this
-    bool reopens = true;              // false: somebody else decides when to ask again
+    Micros connect_timeout = 2'000'000;
+    Micros silence = 2'700'000;  // without any data on a watch; discovery sends an empty line every 2 s
+    Micros answer = 4'500'000;   // from a call to its answer at most, and for one object to arrive completely
+    Micros missed_change_delay = 6'000'000;  // as in ListAge::Timing
+    Micros switch_delay = 4'000'000;         // as in ListAge::Timing
+    Micros backoff_base = 200'000;    // the wait before the n-th reopening is random(0, base * 2^n) ...
+    Micros backoff_most = 1'000'000;  // ... up to this maximum
+    bool reopens = true;              // false: the owner decides when Watch is called again
   };
   struct Events {
     std::function<void(const EndpointList&)> on_list;
-    // The watch ended or never opened. Discovery has to be asked again within this time, in microseconds, as
-    // news binds then whether it is heard or not.
+    // The watch ended or could not be opened. Watch has to be called again within this many microseconds, as
+    // missed changes take effect soon after, received or not.
     std::function<void(Micros within)> on_failed;
-    // Optional: an object that has been accepted, as it came, right before `on_list`.
+    // Optional: an object that has been accepted, unchanged, right before `on_list`.
     std::function<void(const nlohmann::json&)> on_object{};
-    // Optional: a sign of life of a call, blank lines too.
-    std::function<void()> on_heard{};
+    // Optional: part of an answer has been received, be it only a blank line.
+    std::function<void()> on_data{};
   };
 
   Discovery(asio::io_context& io, Tcp::endpoint address, const drill::WireSettings& names, Timing timing,
@@ -52,32 +54,33 @@
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  // What is known already, before the first watch.
+  // Sets the generation of the list that is already known; to be called before the first watch.
   void Know(std::int64_t generation) { generation_ = generation; }
 
-  // Opens the watch, to be told of what changed after what is known. Does nothing if it is open already.
+  // Opens the watch for all changes after the known generation. Does nothing if a call is in progress.
   void Watch();
 
-  // Follows another address from now on. Its versions are its own, so it is asked for the whole list first.
-  // Does nothing if the address is the one that is followed.
+  // Follows the discovery at another address from now on. Generations of two discoveries are not comparable,
+  // so the full list is requested first. Does nothing if the address is the same.
   void Switch(const Tcp::endpoint& address);
 
-  // From when on changes that were not heard bind; none while a watch is heard, and while there can be none.
+  // From when on missed changes take effect. Empty while a watch delivers data, and while discovery is down
+  // and cannot learn of changes.
   std::optional<ListAge::Time> binds_unheard() const;
-  // Whether such changes are only possible or known to have been told.
-  MissedChanges unheard() const { return age_.unheard(); }
+  // Whether missed changes are only possible or known to exist.
+  MissedChanges unheard() const { return age_.missed_changes(); }
 
  private:
   using Clock = std::chrono::steady_clock;
-  class Stream;
-  using CallEnd = ListAge::CallEnd;
+  class Call;
+  using CallResult = ListAge::CallResult;
 
   void Open();
-  void Drop(Stream& stream, const std::string& reason);
-  void OnHeard();
-  void OnObject(Stream& stream, const std::string& text);
-  void OnEnd(const Stream& stream, CallEnd why, const std::string& reason);
-  bool Follows(const EndpointList& list) const;
+  void Reject(Call& call, const std::string& reason);
+  void OnData();
+  void OnObject(Call& call, const std::string& text);
+  void OnEnd(const Call& call, CallResult result, const std::string& reason);
+  bool IsApplicable(const EndpointList& list) const;
 
   asio::io_context& io_;
   Tcp::endpoint address_;
@@ -86,13 +89,13 @@
   const Events events_;
   std::mt19937_64 random_;
   asio::steady_timer backoff_;
-  std::shared_ptr<Stream> stream_;  // the call that is under way
+  std::shared_ptr<Call> call_;  // the call in progress
   ListAge age_;
-  std::int64_t generation_ = kUnknown;  // of the discovery that is followed
-  Clock::time_point heard_at_;          // the last word of discovery, for the log
+  std::int64_t generation_ = kUnknown;  // of the last list or change from the current address
+  Clock::time_point last_data_at_;      // for the log
   std::uint64_t calls_ = 0;             // made since the start
-  int failures_ = 0;
-  bool complained_ = false;
+  int failures_ = 0;                    // since the last list
+  bool invalid_data_logged_ = false;    // since the last list
 };
 
 }  // namespace merlinrun::net
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -10,7 +10,7 @@
 namespace merlinrun::net {
 namespace {
 
-constexpr std::int64_t kMostUnixMs = std::int64_t{1} << 49;  // the module takes times under 2^60 us
+constexpr std::int64_t kMaxUnixMs = std::int64_t{1} << 49;  // the module takes times below 2^60 us
 
 std::optional<ServerInfo::State> ParseLifecycle(const std::string& word) {
   if (word == "up") return ServerInfo::State::kHealthy;
@@ -22,20 +22,20 @@
 Endpoint ParseEntry(const nlohmann::json& json, const drill::WireSettings& names, std::string& error) {
   Endpoint out;
   out.info.id = json.at("instanceId").get<std::string>();
-  if (out.info.id.empty()) error = "an empty instanceId";
+  if (out.info.id.empty()) error = "instanceId is empty";
   const auto state = ParseLifecycle(json.at("lifecycle").get<std::string>());
-  if (!state) error = "an unknown lifecycle";
+  if (!state) error = "unknown lifecycle";
   out.info.state = state.value_or(ServerInfo::State::kGone);
   const auto address = ParseAddress(json.value("hostPort", std::string()));
-  if (!address && out.info.state != ServerInfo::State::kGone) error = "a hostPort that is no address";
+  if (!address && out.info.state != ServerInfo::State::kGone) error = "hostPort is no IP address with a port";
   out.address = address.value_or(Tcp::endpoint());
   out.info.zone = drill::IndexOf(names.zones, ToWireName(json.value("zone", std::string())));
   out.info.machine = drill::IndexOf(names.machines, ToWireName(json.value("machineType", std::string())));
   out.info.cell = json.value("cell", std::int64_t{-1});
   out.info.weight = json.value("weight", 1.0);
   const auto started = json.value("startedAtMs", std::int64_t{0});
-  if (started < 0 || started > kMostUnixMs) error = "a startedAtMs out of range";
-  out.info.started = std::clamp<std::int64_t>(started, 0, kMostUnixMs) * 1000;
+  if (started < 0 || started > kMaxUnixMs) error = "startedAtMs is out of range";
+  out.info.started = std::clamp<std::int64_t>(started, 0, kMaxUnixMs) * 1000;
   return out;
 }
 
@@ -63,8 +63,8 @@
     for (const nlohmann::json& entry : json.at("instances"))
       list.endpoints.push_back(ParseEntry(entry, names, error));
     if (error.empty()) return list;
-  } catch (const nlohmann::json::exception& wrong) {  // a member that is missing or of another type
-    error = wrong.what();
+  } catch (const nlohmann::json::exception& exception) {  // a member is missing or has the wrong type
+    error = exception.what();
   }
   return std::nullopt;
 }
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// The list of servers as discovery tells it, and how it is read.
+// The list of servers as discovery sends it, and its parser.
 #ifndef MERLINRUN_NET_ENDPOINT_LIST_HPP_
 #define MERLINRUN_NET_ENDPOINT_LIST_HPP_
 
@@ -15,23 +15,24 @@
 
 namespace merlinrun::net {
 
-// A server as discovery lists it. `info.started` is Unix time here; the module's clock runs along with it.
+// A server as discovery lists it. `info.started` is in Unix time, on which the module's clock is based too.
 struct Endpoint {
   ServerInfo info;
   Tcp::endpoint address;
 };
 
+// One message of discovery: the full list, or the entries that changed since the generation before it.
 struct EndpointList {
-  bool whole = false;  // else changed entries alone
+  bool whole = false;  // the full list; otherwise only changed entries
   std::int64_t generation = 0;
   std::vector<Endpoint> endpoints;
 };
 
-// Reads a list; empty, with the reason in `error`, if any part of it makes no sense.
+// Parses a list. Returns nothing, with the reason in `error`, if any part of it is invalid.
 std::optional<EndpointList> ParseList(const nlohmann::json& json, const drill::WireSettings& names,
                                       std::string& error);
 
-// "127.0.0.1:80"; empty if it is anything else.
+// Parses an IP address with a port, such as "127.0.0.1:80". Returns nothing for any other text.
 std::optional<Tcp::endpoint> ParseAddress(std::string_view text);
 
 }  // namespace merlinrun::net
--- a/src/net/list_age.cpp
+++ b/src/net/list_age.cpp
@@ -7,26 +7,26 @@
 
 using std::chrono::microseconds;
 
-// The wait before a call is this part at most of the time that is left: failed calls may take the rest.
-constexpr Micros kWaitShare = 3;
-// Once changes bind unheard, the waits are random(0, base * 2^n), n being the calls that have failed since,
-// and no longer than the cap: an overloaded discovery must not be asked ever faster.
+// A retry waits for at most this part of the time left, so that failed calls can take the rest.
+constexpr Micros kRetryShare = 3;
+// Once missed changes have taken effect, retries wait for random(0, base * 2^n), n being the calls that have
+// failed since, up to the cap: an overloaded discovery must not be called ever faster.
 constexpr Micros kOverdueBase = 500'000;
 constexpr Micros kOverdueCap = 2'000'000;
-constexpr int kMostDoublings = 2;
-// A discovery that is silent is asked again so soon: what it learns at its return binds at once, and is told
-// to whoever waits then.
-constexpr Micros kAskSilent = 200'000;
-// A call is given up when changes begin to bind, but none before it has had so long: an overloaded discovery
-// keeps its callers waiting for seconds, and one that gives up loses its place.
-constexpr Micros kLeastAnswer = 3'250'000;
-
-// A call that ends within this time was not kept waiting: whoever refused it lives, whoever reset it does
-// not. A refusal after a wait may be of either kind: an overloaded discovery gives it, and a dead one's
-// machine.
-constexpr auto kAtOnce = std::chrono::milliseconds(250);
-// While a connection does not come up, the kernel last tried it this long after the first time, or later.
-constexpr auto kLastDial = std::chrono::seconds(1);
+constexpr int kMaxDoublings = 2;
+// The retry delay while discovery is silent: what it learns at its return takes effect at once, and it sends
+// that to the calls that are waiting then.
+constexpr Micros kSilentRetry = 200'000;
+// A call is given up when missed changes take effect, but not before it has waited this long: an overloaded
+// discovery keeps its callers waiting for seconds, and a caller that gives up loses its place in the queue.
+constexpr Micros kMinAnswerTimeout = 3'250'000;
+
+// A call that ends within this time was not kept waiting: discovery is alive if it answered with an error
+// status, and down if it reset the connection. An error status after a wait can mean either: an overloaded
+// discovery sends it, and so does the machine of a discovery that is down.
+constexpr auto kImmediate = std::chrono::milliseconds(250);
+// When a connection can't be established, the kernel's last attempt was this long after the first, or later.
+constexpr auto kLastConnectAttempt = std::chrono::seconds(1);
 
 Micros Between(ListAge::Time from, ListAge::Time to) {
   return std::chrono::duration_cast<microseconds>(to - from).count();
@@ -34,96 +34,98 @@
 
 }  // namespace
 
-ListAge::ListAge(Timing timing, Time now, Micros older) : timing_(timing), binds_(now) {
-  if (!timing.told_at_end) binds_ += microseconds(std::max<Micros>(timing.told_unheard - older, 0));
+ListAge::ListAge(Timing timing, Time now, Micros age) : timing_(timing), takes_effect_at_(now) {
+  if (!timing.pushed) takes_effect_at_ += microseconds(std::max<Micros>(timing.missed_change_delay - age, 0));
 }
 
-void ListAge::Confirm(Time at) {
-  binds_ = at + microseconds(timing_.told_unheard);
-  failed_overdue_ = 0;
+void ListAge::ConfirmCurrent(Time at) {
+  takes_effect_at_ = at + microseconds(timing_.missed_change_delay);
+  overdue_failures_ = 0;
   unwatched_since_.reset();
-  cut_off_ = false;
-  unheard_ = MissedChanges::kPossible;
+  partial_object_ = false;
+  missed_ = MissedChanges::kPossible;
 }
 
-void ListAge::CallEnded(CallEnd how, Time began, Time now) {
-  const bool at_once = now - began < kAtOnce;
-  silent_ = IsSilentOutage(how);
-  if (silent_) binds_ = unwatched_since_.emplace(now);  // until now nothing was learnt
-  if (timing_.told_at_end && (how == CallEnd::kEnded || how == CallEnd::kBadInput || how == CallEnd::kReset))
-    binds_ = std::min(binds_, now);
-  switch (how) {
-    case CallEnd::kUnreachable:
-      lost_ = true;
-      OutOfReach(began, std::min(now, began + kLastDial));
+void ListAge::OnCallEnd(CallResult result, Time began, Time now) {
+  const bool immediate = now - began < kImmediate;
+  silent_outage_ = IsSilentOutage(result);
+  if (silent_outage_) takes_effect_at_ = unwatched_since_.emplace(now);  // it learned of no change until now
+  if (timing_.pushed &&
+      (result == CallResult::kEnded || result == CallResult::kInvalidData || result == CallResult::kReset))
+    takes_effect_at_ = std::min(takes_effect_at_, now);
+  switch (result) {
+    case CallResult::kUnreachable:
+      no_sign_of_life_ = true;
+      OnUnreachable(began, std::min(now, began + kLastConnectAttempt));
       break;
-    case CallEnd::kReset:
-      lost_ = true;
-      if (at_once) OutOfReach(began, now);
+    case CallResult::kReset:
+      no_sign_of_life_ = true;
+      if (immediate) OnUnreachable(began, now);
       break;
-    case CallEnd::kRefused:
-      if (at_once) lost_ = false;
+    case CallResult::kErrorStatus:
+      if (immediate) no_sign_of_life_ = false;
       [[fallthrough]];
-    case CallEnd::kUnanswered:
-      if (lost_ && !silent_) {
-        OutOfReach(began, began);
+    case CallResult::kAnswerTimeout:
+      if (no_sign_of_life_ && !silent_outage_) {
+        OnUnreachable(began, began);
       } else if (!unwatched_since_) {
         unwatched_since_ = now;
       }
       break;
-    case CallEnd::kSilent:
-    case CallEnd::kEnded:
-    case CallEnd::kBadInput:
-      lost_ = false;
+    case CallResult::kSilent:
+    case CallResult::kEnded:
+    case CallResult::kInvalidData:
+      no_sign_of_life_ = false;
       if (!unwatched_since_) unwatched_since_ = now;
       break;
   }
-  if (now >= binds_) failed_overdue_ = std::min(failed_overdue_ + 1, kMostDoublings);
+  if (now >= takes_effect_at_) overdue_failures_ = std::min(overdue_failures_ + 1, kMaxDoublings);
 }
 
-// Where lists are pushed nobody waits for an answer: a discovery that keeps its watches and its callers
-// waiting is down. Guards against a silence that is taken for missed changes and stops all service.
-bool ListAge::IsSilentOutage(CallEnd how) const {
-  return timing_.told_at_end && !cut_off_ && (how == CallEnd::kSilent || how == CallEnd::kUnanswered);
+// A discovery that pushes its lists answers without a queue: one that lets its watches and its callers wait
+// is down. Were its silence taken for missed changes, all service would stop.
+bool ListAge::IsSilentOutage(CallResult result) const {
+  return timing_.pushed && !partial_object_ &&
+         (result == CallResult::kSilent || result == CallResult::kAnswerTimeout);
 }
 
-void ListAge::CutOff(Time begun, MissedChanges unheard) {
-  binds_ = std::min(binds_, begun);
-  cut_off_ = true;
-  if (unheard == MissedChanges::kAnnounced) unheard_ = unheard;
+void ListAge::OnPartialObject(Time began, MissedChanges missed) {
+  takes_effect_at_ = std::min(takes_effect_at_, began);
+  partial_object_ = true;
+  if (missed == MissedChanges::kAnnounced) missed_ = missed;
 }
 
-// A discovery that cannot be reached tells nothing. Guards against holding back all requests for a list that
-// cannot have changed, and against asking ever faster meanwhile.
-// What changed before, while it was in reach and not watched, binds all the same. One that ends a watch and
-// is out of reach at once was going down already.
-void ListAge::OutOfReach(Time began, Time until) {
-  if (cut_off_ || (unwatched_since_ && began - *unwatched_since_ > kAtOnce)) return;
+// A discovery that cannot be reached announces no changes. Its outage postpones their effect: otherwise all
+// requests would be paused for a list that cannot have changed, and discovery called ever faster meanwhile.
+// Changes made before the outage, while discovery was reachable and not watched, take effect all the same. A
+// discovery that ends a watch and is unreachable within kImmediate was already shutting down.
+void ListAge::OnUnreachable(Time began, Time until) {
+  if (partial_object_ || (unwatched_since_ && began - *unwatched_since_ > kImmediate)) return;
   unwatched_since_.reset();
-  const Micros told_after = timing_.told_at_end ? 0 : timing_.told_unheard;
-  const Time binds = until + microseconds(told_after);
-  if (binds <= binds_) return;
-  binds_ = binds;
-  failed_overdue_ = 0;
+  const Micros delay = timing_.pushed ? 0 : timing_.missed_change_delay;
+  const Time takes_effect_at = until + microseconds(delay);
+  if (takes_effect_at <= takes_effect_at_) return;
+  takes_effect_at_ = takes_effect_at;
+  overdue_failures_ = 0;
 }
 
-void ListAge::Switched(Time now) {
-  binds_ = std::min(binds_, now + microseconds(timing_.told_anew));
-  failed_overdue_ = 0;
-  lost_ = false;
+void ListAge::OnSwitch(Time now) {
+  takes_effect_at_ = std::min(takes_effect_at_, now + microseconds(timing_.switch_delay));
+  overdue_failures_ = 0;
+  no_sign_of_life_ = false;
 }
 
-// Counted from what was last heard. Counted from the last call, as it once was, each failed call put off the
-// next one, and drained servers got requests past their grace.
-Micros ListAge::AskWithin(Time now) const {
-  if (silent_) return kAskSilent;
-  const Micros left = Between(now, binds_);
-  if (left > 0) return std::max<Micros>(left / kWaitShare, std::min(left, kOverdueBase));
-  return std::min(kOverdueBase << failed_overdue_, kOverdueCap);
+// Counted from the last data received. When it was counted from the last call, each failed call postponed the
+// next one, and draining servers got requests after their grace period.
+Micros ListAge::RetryWithin(Time now) const {
+  if (silent_outage_) return kSilentRetry;
+  const Micros left = Between(now, takes_effect_at_);
+  if (left > 0) return std::max<Micros>(left / kRetryShare, std::min(left, kOverdueBase));
+  return std::min(kOverdueBase << overdue_failures_, kOverdueCap);
 }
 
-Micros ListAge::AnswerWithin(Time now, Micros most) const {
-  return std::min(std::max(Between(now, binds_), kLeastAnswer), most);
+Micros ListAge::AnswerTimeout(Time now, Micros max) const {
+  return std::min(std::max(Between(now, takes_effect_at_), kMinAnswerTimeout), max);
 }
 
 }  // namespace merlinrun::net
--- a/src/net/list_age.hpp
+++ b/src/net/list_age.hpp
@@ -1,5 +1,5 @@
-// How long ago the list of servers was known to be current, and from when on a change that has not been heard
-// counts as told. Decides how soon discovery has to be asked again.
+// Tracks how out of date the list of servers may be: from when on a change that was missed takes effect, and
+// how soon discovery has to be called again.
 #ifndef MERLINRUN_NET_LIST_AGE_HPP_
 #define MERLINRUN_NET_LIST_AGE_HPP_
 
@@ -10,68 +10,75 @@
 
 namespace merlinrun::net {
 
+// Derives the age of the list from the calls to discovery and their results. A change of the list takes
+// effect a fixed time after it was made: from then on the sidecar has to obey it, whether it received it or
+// not.
 class ListAge {
  public:
   using Clock = std::chrono::steady_clock;
   using Time = Clock::time_point;
 
   struct Timing {
-    Micros told_unheard = 6'000'000;  // a change binds so long after it was made, heard or not
-    Micros told_anew = 4'000'000;     // and so long after a switch to another discovery
-    bool told_at_end = false;         // lists are pushed: a change binds at once when no watch is open
+    Micros missed_change_delay = 6'000'000;  // from a change to its effect, if it is not received earlier
+    Micros switch_delay =
+        4'000'000;        // from a switch to another discovery to the effect of what that one lists
+    bool pushed = false;  // discovery pushes its lists: a change takes effect at once while no watch is open
   };
 
-  // How a call to discovery ended, as far as it tells whether discovery lives.
-  enum class CallEnd {
-    kUnreachable,  // no connection came up
-    kUnanswered,   // no answer in time
-    kReset,        // the connection broke, before an answer or in the middle of it
-    kRefused,      // an answer other than 200
-    kSilent,       // the answer began and fell silent
-    kEnded,        // the answer ended in order
-    kBadInput,     // what came makes no sense
+  // How a call to discovery ended, as far as it tells whether discovery is alive.
+  enum class CallResult {
+    kUnreachable,    // the connection was not established
+    kAnswerTimeout,  // no answer in time
+    kReset,          // the connection broke, before the answer or in the middle of it
+    kErrorStatus,    // an answer with a status other than 200
+    kSilent,         // the answer began, and then nothing came for too long
+    kEnded,          // the answer ended in order
+    kInvalidData,    // the data could not be understood
   };
 
-  // The list as known at `now` may be older by that much: it was current when a process before this one
-  // ended.
-  ListAge(Timing timing, Time now, Micros older);
+  // The list known at `now` may already be `age` old: it was current when the process before this one ended.
+  ListAge(Timing timing, Time now, Micros age);
 
-  // Discovery has told everything that it had by that time.
-  void Confirm(Time at);
-  // Something of an answer has come: discovery lives.
-  void Heard() { lost_ = silent_ = false; }
+  // All changes that discovery had at time `at` have been received.
+  void ConfirmCurrent(Time at);
+  // Part of an answer has been received: discovery is alive.
+  void OnData() { no_sign_of_life_ = silent_outage_ = false; }
   // A call that was made at `began` has ended now.
-  void CallEnded(CallEnd how, Time began, Time now);
-  // What was being told from that time on did not come whole. Counts as told: discovery has written it.
-  // kPossible: what came makes no sense, so that it need not have been a change.
-  void CutOff(Time begun, MissedChanges unheard = MissedChanges::kAnnounced);
-  // What is known of changes that were not heard.
-  MissedChanges unheard() const { return unheard_; }
-  // Another discovery is followed. What binds earlier keeps its time.
-  void Switched(Time now);
+  void OnCallEnd(CallResult result, Time began, Time now);
+  // An object whose first byte came at `began` was not received completely. It counts as announced, as
+  // discovery has written it. With kPossible: its data was invalid, so it need not have been a change.
+  void OnPartialObject(Time began, MissedChanges missed = MissedChanges::kAnnounced);
+  // Whether missed changes are only possible or known to exist.
+  MissedChanges missed_changes() const { return missed_; }
+  // Another discovery is followed from now on. Changes that take effect earlier keep their time.
+  void OnSwitch(Time now);
 
-  // From when on changes that were not heard bind, if nothing more is heard. None while a discovery that
-  // pushes its lists says nothing to anybody: it is down then and learns nothing.
-  std::optional<Time> binds() const { return silent_ ? std::nullopt : std::optional(binds_); }
-  // Within which discovery has to be asked again.
-  Micros AskWithin(Time now) const;
-  // Within which a call made at `now` has to be answered, or it is given up; `most` if nothing presses.
-  Micros AnswerWithin(Time now, Micros most) const;
+  // From when on missed changes take effect, if nothing more is received. None while a discovery that pushes
+  // its lists sends nothing to anybody: it is down then and learns of no change.
+  std::optional<Time> missed_changes_take_effect_at() const {
+    return silent_outage_ ? std::nullopt : std::optional(takes_effect_at_);
+  }
+  // The time within which discovery has to be called again.
+  Micros RetryWithin(Time now) const;
+  // How long a call made at `now` waits for its answer before it is given up; `max` if no missed change takes
+  // effect before.
+  Micros AnswerTimeout(Time now, Micros max) const;
 
  private:
-  bool IsSilentOutage(CallEnd how) const;
-  void OutOfReach(Time began, Time until);
+  bool IsSilentOutage(CallResult result) const;
+  void OnUnreachable(Time began, Time until);
 
   Timing timing_;
-  Time binds_;
-  // Since when discovery has been in reach, as far as is known, with no watch that would have told its
-  // changes.
+  Time takes_effect_at_;
+  // Since when discovery has been reachable, as far as is known, without an open watch that would have
+  // received its changes.
   std::optional<Time> unwatched_since_;
-  bool cut_off_ = false;  // something was being told: no outage puts it off
-  MissedChanges unheard_ = MissedChanges::kPossible;
-  bool silent_ = false;     // it pushes its lists, and the last call got no answer or fell silent
-  bool lost_ = true;        // discovery has given no sign of life, at all or since it broke a connection
-  int failed_overdue_ = 0;  // calls that failed after binds_
+  bool partial_object_ =
+      false;  // an object was received only in part: an outage does not postpone its effect
+  MissedChanges missed_ = MissedChanges::kPossible;
+  bool silent_outage_ = false;   // lists are pushed, and the last call got no answer or fell silent
+  bool no_sign_of_life_ = true;  // from discovery, since the start or since a connection to it broke
+  int overdue_failures_ = 0;     // calls that failed after takes_effect_at_
 };
 
 }  // namespace merlinrun::net
--- a/src/net/object_splitter.hpp
+++ b/src/net/object_splitter.hpp
@@ -1,4 +1,4 @@
-// Cuts a stream of bytes into JSON objects.
+// Splits a stream of bytes into JSON objects.
 #ifndef MERLINRUN_NET_OBJECT_SPLITTER_HPP_
 #define MERLINRUN_NET_OBJECT_SPLITTER_HPP_
 
@@ -9,13 +9,14 @@
 
 namespace merlinrun::net {
 
-// Cuts what comes into JSON objects by their brackets: an object may stand on one line or on several, and may
-// come in any pieces.
+// Splits a stream into its top-level JSON objects by matching brackets. An object may span several lines and
+// may arrive in chunks of any size.
 class ObjectSplitter {
  public:
-  // False if no JSON goes on like that. What is wrong in other ways shows when the object is read; this much
-  // is seen at once, so that nobody waits for the end of what has none.
-  bool Take(char c) {
+  // Adds the next character. Returns false if the input cannot be JSON, as far as brackets, strings and
+  // characters tell: otherwise the caller could wait for ever for the end of an invalid object. A parser
+  // finds all other errors in the complete object.
+  bool Append(char c) {
     if (depth_ == 0) {
       if (IsSpace(c)) return true;
       if (c != '{') return false;
@@ -33,31 +34,33 @@
     } else if (c == '{' || c == '[') {
       ++depth_;
     } else if (c == '}' || c == ']') {
-      whole_ = --depth_ == 0;
+      complete_ = --depth_ == 0;
     } else {
-      return kBetweenStrings.find(c) != std::string_view::npos;
+      return kOutsideStrings.find(c) != std::string_view::npos;
     }
     return true;
   }
-  // The object that the last character has made whole, if it has.
-  std::optional<std::string> Whole() {
-    if (!std::exchange(whole_, false)) return std::nullopt;
+  // Returns the object that the last character completed, if any, once.
+  std::optional<std::string> TakeObject() {
+    if (!std::exchange(complete_, false)) return std::nullopt;
     return std::exchange(text_, {});
   }
-  bool inside() const { return depth_ > 0; }
+  // Whether an object has begun and not ended yet.
+  bool inside_object() const { return depth_ > 0; }
+  // The bytes of the object so far.
   std::size_t size() const { return text_.size(); }
 
  private:
-  static constexpr std::string_view kBetweenStrings =
+  static constexpr std::string_view kOutsideStrings =
       ":,+-.0123456789eEtrufalsn";  // numbers, true, false, null
   static bool IsSpace(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
 
   std::string text_;
   int depth_ = 0;
-  char last_ = 0;  // the last that is no space and in no string
+  char last_ = 0;  // the last character that is neither white space nor in a string
   bool in_string_ = false;
   bool escaped_ = false;
-  bool whole_ = false;
+  bool complete_ = false;
 };
 
 }  // namespace merlinrun::net
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The watch, its reopenings, and lists that make no sense.
+// The watch, its reopenings, and invalid lists.
 #include "net/discovery.hpp"
 
 #include "loopback.hpp"
@@ -16,8 +16,9 @@
 
 class DiscoveryTest : public ::testing::Test {
  protected:
-  // A discovery whose n-th watch begins with the n-th of `scripts`; the last one serves all further watches.
-  void Start(std::vector<std::string> scripts, Discovery::Timing timing = Patient()) {
+  // Starts a fake discovery that answers the n-th watch with the n-th of `scripts`, and all later watches
+  // with the last one. An empty script closes the connection.
+  void Start(std::vector<std::string> scripts, Discovery::Timing timing = LongTimeouts()) {
     server = std::make_unique<ScriptedServer>(io, [this, scripts](Peer& peer) {
       if (peer.requests() != 1) return;
       const std::size_t n = std::min(watches++, scripts.size() - 1);
@@ -28,15 +29,15 @@
     discovery = std::make_unique<Discovery>(
         io, server->address, names, timing, 1,
         Discovery::Events{[this](const EndpointList& list) { lists.push_back(list); },
-                          [this](Micros told) { ++failures, within = told; }});
+                          [this](Micros time) { ++failures, within = time; }});
     discovery->Know(41);
     discovery->Watch();
   }
-  // A busy machine is no reason to take a watch for silent, nor to find that something binds already: what a
-  // test is about it sets itself, so far from the rest that no delay brings them together.
-  static Discovery::Timing Patient() {
+  // Timeouts of a day, so that on a busy machine no watch counts as silent and no missed change takes effect.
+  // Each test shortens only those that it is about.
+  static Discovery::Timing LongTimeouts() {
     Discovery::Timing timing;
-    timing.silence = timing.answer = timing.told_unheard = timing.told_anew = kDay;
+    timing.silence = timing.answer = timing.missed_change_delay = timing.switch_delay = kDay;
     return timing;
   }
   static constexpr Micros kDay = Micros{24} * 3600 * 1'000'000;
@@ -51,10 +52,10 @@
   std::size_t watches = 0;
   std::vector<EndpointList> lists;
   int failures = 0;
-  Micros within = -1;  // as told with the last of them
+  Micros within = -1;  // of the last failure
 };
 
-TEST_F(DiscoveryTest, DeliversEachLineHoweverItIsCut) {
+TEST_F(DiscoveryTest, DeliversEachLineHoweverItIsSplitIntoChunks) {
   const std::string line = Line(43, "s-b");
   Start({Chunk(Line(42, "s-a")) + Chunk("\n") + Chunk(line.substr(0, 20)) + Chunk(line.substr(20) + "\n")});
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 2; }));
@@ -67,7 +68,7 @@
   EXPECT_EQ(failures, 0);
 }
 
-TEST_F(DiscoveryTest, ReopensAWatchThatEndsFromWhereItWas) {
+TEST_F(DiscoveryTest, ReopensAWatchThatEndedAtTheLastGeneration) {
   Start({Chunk(Line(42, "s-a")) + "0\r\n\r\n", Chunk(Line(43, "s-b"))});
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 2; }));
   EXPECT_NE(server->peers[1]->received.find("index=42 "), std::string::npos);
@@ -75,16 +76,16 @@
 }
 
 TEST_F(DiscoveryTest, ReopensAWatchThatFallsSilent) {
-  Discovery::Timing timing = Patient();
+  Discovery::Timing timing = LongTimeouts();
   timing.silence = 100'000;
   Start({Chunk(Line(42, "s-a")), Chunk(Line(43, "s-b"))}, timing);
   EXPECT_TRUE(RunUntil(io, [&] { return lists.size() >= 2; }));
 }
 
-// What a silent watch misses binds 6 s after its last word: it is asked for again soon after it was seen to
-// be silent, and once more before that if the next one is silent too.
-TEST_F(DiscoveryTest, AfterASilentWatchItAsksAgainUntilTheNewsBindsAndNoMoreThan) {
-  Discovery::Timing timing = Patient();
+// What a silent watch misses takes effect 6 s after its last data. The next call is made within a third of
+// the time left, so that one more fits in if that one is silent too.
+TEST_F(DiscoveryTest, AfterASilentWatchDiscoveryIsCalledAgainBeforeMissedChangesTakeEffect) {
+  Discovery::Timing timing = LongTimeouts();
   timing.reopens = false;
   timing.silence = 100'000;
   Start({Chunk(Line(42, "s-a")), Chunk(Line(43, "s-b")) + "0\r\n\r\n"}, timing);
@@ -93,14 +94,14 @@
   EXPECT_LE(within, (kDay - timing.silence) / 3);
   discovery->Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 2; }));
-  ASSERT_EQ(lists.size(), 2U);  // it was heard: nothing presses
-  // Its end was seen: it has missed nothing, and what comes later binds later.
+  ASSERT_EQ(lists.size(), 2U);  // the second watch delivered its list
+  // It ended in order just now and missed nothing before, so what changes from now on takes effect later.
   EXPECT_GT(within, (kDay - timing.silence) / 3);
   EXPECT_LE(within, kDay / 2);
 }
 
-TEST_F(DiscoveryTest, ASwitchPressesUntilItsListIsThere) {
-  Discovery::Timing timing = Patient();
+TEST_F(DiscoveryTest, AfterASwitchDiscoveryIsCalledAgainBeforeMissedChangesTakeEffect) {
+  Discovery::Timing timing = LongTimeouts();
   timing.reopens = false;
   timing.answer = 50'000;
   Start({Chunk(Line(42, "s-a"))}, timing);
@@ -112,45 +113,45 @@
   EXPECT_LE(within, (kDay - timing.answer) / 3);
 }
 
-// It binds while the first call is under way, which is given up later than that. The grace of a drain runs
-// then: discovery is asked again soon, and less often the more calls fail.
-TEST_F(DiscoveryTest, ASwitchPressesOnOnceItBindsUnheard) {
-  Discovery::Timing timing = Patient();
+// Missed changes take effect during the first call, which is given up later. The grace period of a drain runs
+// from then on: discovery is called again soon, with a backoff as more calls fail.
+TEST_F(DiscoveryTest, RetriesBackOffOnceMissedChangesHaveTakenEffectAfterASwitch) {
+  Discovery::Timing timing = LongTimeouts();
   timing.reopens = false;
-  timing.told_anew = 1'000;
+  timing.switch_delay = 1'000;
   timing.answer = 50'000;
   Start({Chunk(Line(42, "s-a"))}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
   ScriptedServer silent(io);
   discovery->Switch(silent.address);
-  for (const Micros most : {1'000'000, 2'000'000, 2'000'000}) {
+  for (const Micros expected : {1'000'000, 2'000'000, 2'000'000}) {
     within = -1;
     ASSERT_TRUE(RunUntil(io, [&] { return within >= 0; }));
-    EXPECT_EQ(within, most);
+    EXPECT_EQ(within, expected);
     discovery->Watch();
   }
 }
 
-// A failed call tells nothing: what binds is counted from the last word of the watch.
-TEST_F(DiscoveryTest, AFailedCallDoesNotPutOffWhatBinds) {
-  Discovery::Timing timing = Patient();
+// A failed call delivers nothing, so the time is still counted from the last data of the watch.
+TEST_F(DiscoveryTest, AFailedCallDoesNotPostponeMissedChanges) {
+  Discovery::Timing timing = LongTimeouts();
   timing.reopens = false;
   timing.answer = 50'000;
   Start({Chunk(Line(42, "s-a")) + "0\r\n\r\n", ""}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
-  const auto binds = discovery->binds_unheard();
-  ASSERT_TRUE(binds.has_value());
-  server->on_data = [](Peer&) {};  // keeps the next calls waiting until they are given up
+  const auto takes_effect_at = discovery->binds_unheard();
+  ASSERT_TRUE(takes_effect_at.has_value());
+  server->on_data = [](Peer&) {};  // never answers the next calls
   for (const int calls : {2, 3}) {
     discovery->Watch();
     ASSERT_TRUE(RunUntil(io, [&] { return failures == calls; }));
-    EXPECT_EQ(discovery->binds_unheard(), binds);
+    EXPECT_EQ(discovery->binds_unheard(), takes_effect_at);
   }
 }
 
-// Discovery has written it, whole or not: what was cut off counts as told.
-TEST_F(DiscoveryTest, WhatWasCutOffBindsFromItsFirstByte) {
-  Discovery::Timing timing = Patient();
+// Discovery has written the change, so a partial object counts as announced.
+TEST_F(DiscoveryTest, APartialObjectTakesEffectFromItsFirstByte) {
+  Discovery::Timing timing = LongTimeouts();
   timing.reopens = false;
   const std::string line = Line(43, "s-b");
   Start({Chunk(Line(42, "s-a")) + Chunk(line.substr(0, line.size() / 2)) + "0\r\n\r\n"}, timing);
@@ -160,16 +161,14 @@
   EXPECT_LE(within, 1'000'000);
 }
 
-// Whatever the settings allow then, a change binds 6 s after discovery had it and could be reached: half of
-// that is for the wait, the rest for the answer.
-// Guards against what was told by half being forgotten for the first half of the next answer.
-TEST_F(DiscoveryTest, HalfAnObjectConfirmsNothing) {
-  Discovery::Timing timing = Patient();
+// A partial object must stay recorded when the next answer begins with another partial one.
+TEST_F(DiscoveryTest, APartialObjectDoesNotConfirmTheList) {
+  Discovery::Timing timing = LongTimeouts();
   timing.reopens = false;
   const std::string half = Chunk(Line(43, "s-b").substr(0, 20));
   Start({Chunk(Line(42, "s-a")) + half + "0\r\n\r\n", half}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
-  const auto binds = discovery->binds_unheard();
+  const auto takes_effect_at = discovery->binds_unheard();
   EXPECT_EQ(discovery->unheard(), MissedChanges::kAnnounced);
   discovery->Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return watches == 2; }));
@@ -177,12 +176,12 @@
   EXPECT_EQ(discovery->unheard(), MissedChanges::kAnnounced);
   server->peers[1]->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 2; }));
-  EXPECT_EQ(discovery->binds_unheard(), binds);
+  EXPECT_EQ(discovery->binds_unheard(), takes_effect_at);
 }
 
-// Guards against a reload that forgets what the old address was telling.
-TEST_F(DiscoveryTest, ASwitchInTheMiddleOfAnObjectLeavesItToldByHalf) {
-  Discovery::Timing timing = Patient();
+// A reload must not discard the record of an object that the old address had begun to send.
+TEST_F(DiscoveryTest, ASwitchInTheMiddleOfAnObjectRecordsItAsPartial) {
+  Discovery::Timing timing = LongTimeouts();
   timing.reopens = false;
   Start({Chunk(Line(42, "s-a")) + Chunk(Line(43, "s-b").substr(0, 20))}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
@@ -193,9 +192,11 @@
   EXPECT_LE(discovery->binds_unheard(), ListAge::Clock::now());
 }
 
-TEST_F(DiscoveryTest, AfterACallThatFailedItHasToBeAskedAgainBeforeAChangeBinds) {
-  EXPECT_EQ(Discovery::Timing().told_unheard, 6'000'000);
-  Discovery::Timing timing = Patient();
+// Whatever the settings allow after a failed call, a change takes effect 6 s after a reachable discovery had
+// it: half of that is for the wait, the rest for the answer.
+TEST_F(DiscoveryTest, AfterAFailedCallDiscoveryIsCalledAgainBeforeAChangeTakesEffect) {
+  EXPECT_EQ(Discovery::Timing().missed_change_delay, 6'000'000);
+  Discovery::Timing timing = LongTimeouts();
   timing.reopens = false;
   timing.answer = 400'000;
   ScriptedServer refusing(io, [](Peer& peer) { peer.Write(Reply("503 Service Unavailable", "")); });
@@ -204,23 +205,24 @@
   gone.StopListening();
   for (const Tcp::endpoint& address : {refusing.address, gone.address, silent.address}) {
     Discovery fresh(io, address, names, timing, 1,
-                    {[](const EndpointList&) {}, [this](Micros told) { ++failures, within = told; }});
+                    {[](const EndpointList&) {}, [this](Micros time) { ++failures, within = time; }});
     failures = 0;
     within = -1;
     fresh.Watch();
     ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
-    // A call that was given up has used up a part of the time.
+    // A call that timed out has used part of the time.
     EXPECT_LE(within, (address == silent.address ? kDay - timing.answer : kDay) / 2);
     EXPECT_GT(within, 0);
   }
 }
 
-TEST_F(DiscoveryTest, KeepsTheOldListOnBadInputAndAsksAgain) {
-  const nlohmann::json sideways = {{"instanceId", "s"}, {"lifecycle", "sideways"}};
-  const nlohmann::json nowhere = {{"instanceId", "s"}, {"lifecycle", "up"}, {"hostPort", "there"}};
-  const nlohmann::json number = {{"instanceId", 7}, {"lifecycle", "up"}};
+TEST_F(DiscoveryTest, KeepsTheOldListOnInvalidDataAndCallsAgain) {
+  const nlohmann::json bad_lifecycle = {{"instanceId", "s"}, {"lifecycle", "sideways"}};
+  const nlohmann::json bad_address = {{"instanceId", "s"}, {"lifecycle", "up"}, {"hostPort", "there"}};
+  const nlohmann::json bad_id = {{"instanceId", 7}, {"lifecycle", "up"}};
   std::vector<std::string> bad = {"{nonsense\n", "[]\n", "{\"generation\":1}\n"};
-  for (const auto& entry : {sideways, nowhere, number}) bad.push_back(List(50, false, {entry}).dump() + "\n");
+  for (const auto& entry : {bad_lifecycle, bad_address, bad_id})
+    bad.push_back(List(50, false, {entry}).dump() + "\n");
   std::vector<std::string> scripts;
   for (const std::string& line : bad) scripts.push_back(Chunk(line));
   scripts.push_back(Chunk(Line(51, "s-a")));
@@ -230,7 +232,7 @@
   EXPECT_EQ(failures, static_cast<int>(bad.size()));
 }
 
-TEST_F(DiscoveryTest, AsksANewAddressForItsWholeListAndThenWatches) {
+TEST_F(DiscoveryTest, RequestsTheFullListFromANewAddressAndThenWatches) {
   Start({Chunk(Line(42, "s-a"))});
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
   ScriptedServer other(io, [](Peer& peer) {
@@ -242,11 +244,11 @@
   discovery->Switch(other.address);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 3; }));
   EXPECT_EQ(other.peers[0]->received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0), 0U);
-  EXPECT_TRUE(lists[1].whole);  // though its generation is lower: versions are each address's own
+  EXPECT_TRUE(lists[1].whole);  // its lower generation is accepted, as each address counts its own
   EXPECT_EQ(lists[2].generation, 8);
   EXPECT_TRUE(RunUntil(io, [&] { return server->peers[0]->ended; }));
   EXPECT_EQ(failures, 0);
-  discovery->Switch(other.address);  // told again: the watch goes on
+  discovery->Switch(other.address);  // the same address: the watch stays open
   RunFor(io, 30ms);
   EXPECT_EQ(other.peers.size(), 2U);
 }
@@ -262,8 +264,9 @@
   EXPECT_EQ(lists[1].generation, 3);
 }
 
-// A discovery that begins anew counts from the start: its changes do not build on the list that is held.
-TEST_F(DiscoveryTest, ALowerGenerationMakesItAskForTheWholeList) {
+// A discovery that starts from scratch also restarts its generations, so its changes do not apply to the
+// known list.
+TEST_F(DiscoveryTest, ALowerGenerationCausesARequestForTheFullList) {
   Start({Chunk(Line(42, "s-a")) + Chunk(Line(3, "s-b")),
          Chunk(List(4, true, {Entry("s-c", {asio::ip::make_address("127.0.0.1"), 80})}).dump() + "\n")});
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 2; }));
@@ -271,8 +274,8 @@
   EXPECT_EQ(server->peers[1]->received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0), 0U);
 }
 
-TEST_F(DiscoveryTest, LeavesReopeningToTheModuleWhereListsAreAskedFor) {
-  Discovery::Timing timing = Patient();
+TEST_F(DiscoveryTest, LeavesReopeningToTheModuleWhereListsAreRequested) {
+  Discovery::Timing timing = LongTimeouts();
   timing.reopens = false;
   Start({"0\r\n\r\n"}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
@@ -282,8 +285,8 @@
   EXPECT_TRUE(RunUntil(io, [&] { return watches == 2; }));
 }
 
-// On the wire, names have no spaces and commas; the list has them as they are.
-TEST(ParseList, FindsZonesAndMachinesWhateverTheyAreCalled) {
+// The settings replace spaces and commas in names, the list does not.
+TEST(ParseList, FindsZonesAndMachinesWithSpacesAndCommasInTheirNames) {
   const drill::WireSettings names{{}, {"west", "north_sea__2"}, {"std", "big_one"}};
   nlohmann::json entry = Entry("s", {asio::ip::make_address("127.0.0.1"), 80}, "up", 0, "north sea, 2");
   entry["machineType"] = "big one";
@@ -294,8 +297,8 @@
   EXPECT_EQ(list->endpoints[0].info.machine, 1);
 }
 
-// Were the time taken anew for each list, one start would look like ever new ones, with a cold server.
-TEST(ParseList, AStartIsTheSameTimeInEachList) {
+// If the start time differed from list to list, a server would seem to restart and be warmed up each time.
+TEST(ParseList, AServersStartIsTheSameTimeInEachList) {
   std::string error;
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 80);
   for (int i = 0; i < 2; ++i) {
@@ -307,7 +310,7 @@
   }
 }
 
-TEST(ParseAddress, TakesAddressesWithAPortAlone) {
+TEST(ParseAddress, AcceptsOnlyAnIpAddressWithAPort) {
   EXPECT_TRUE(ParseAddress("127.0.0.1:80"));
   for (const char* bad :
        {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:99999", "127.0.0.1:8x", "host:80", ":80"})
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The adapter: the whole wire, bad input, and instances that share nothing.
+// The simulator's line protocol: all events, invalid input, and instances that share no state.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -11,7 +11,7 @@
 namespace merlinrun::drill {
 namespace {
 
-const char kInfo[] =
+const char kSettings[] =
     "allowed.cancel=true allowed.max_attempts=5 allowed.max_retry_after_us=2000000 allowed.retry_after=true "
     "azs=east,west grades.count=2 grades.0.name=look grades.0.aim_us=1000000 grades.0.hard_limit_us=3000000 "
     "grades.0.importance=1.0 grades.0.repeat=idempotent grades.1.name=pay grades.1.aim_us=1000000 "
@@ -23,35 +23,35 @@
     "some.unknown.key=whatever";
 
 std::vector<std::string> Provision(const std::string& name, const std::string& seed = "42") {
-  return {"PROVISION " + name + " " + seed + " " + kInfo, "TABLE 3 2",
+  return {"PROVISION " + name + " " + seed + " " + kSettings, "TABLE 3 2",
           "ROW big east 1 - 0 10.0.0.1:80 healthy", "ROW small west 1.5 100 - 10.0.0.2:80 healthy",
           "DISCOVERY " + name + " C 7 3"};
 }
 
 // The reply to one batch.
 std::string Batch(Host& host, std::int64_t now, const std::vector<std::string>& lines) {
-  host.Line("BEGIN_BATCH " + std::to_string(now));
-  for (const std::string& line : lines) EXPECT_FALSE(host.Line(line)) << line;
-  EXPECT_TRUE(host.Line("COMMIT"));
+  host.HandleLine("BEGIN_BATCH " + std::to_string(now));
+  for (const std::string& line : lines) EXPECT_FALSE(host.HandleLine(line)) << line;
+  EXPECT_TRUE(host.HandleLine("COMMIT"));
   return host.reply();
 }
 
-TEST(Wire, AnEmptyBatchIsAnsweredAtOnce) {
+TEST(Wire, AnEmptyBatchIsAnsweredImmediately) {
   Host host;
   EXPECT_EQ(Batch(host, 5, {}), "DONE\n");
 }
 
-TEST(Wire, PlaysARequestFromArrivalToSuccess) {
+TEST(Wire, HandlesARequestFromArrivalToSuccess) {
   Host host;
   const std::string start = Batch(host, 10, Provision("sidecar/1"));
-  EXPECT_EQ(start.substr(0, 16), "SLEEP sidecar/1 ");  // asks discovery after a spread wait
+  EXPECT_EQ(start.substr(0, 16), "SLEEP sidecar/1 ");  // a timer: discovery is called after a random delay
   const std::string routed = Batch(host, 20, {"ARRIVAL sidecar/1 r-a 12000 2000000 acme 1 look s-key"});
   EXPECT_EQ(routed.substr(0, 20), "ROUTE sidecar/1 r-a ");
   EXPECT_EQ(Batch(host, 40, {"RESOLVED sidecar/1 r-a 0 10.0.0.1:80 success 20 1 busy_reqs:3,pending:1"}),
             "DONE\n");
 }
 
-TEST(Wire, EveryEventIsTaken) {
+TEST(Wire, EveryEventIsAccepted) {
   Host host;
   Batch(host, 10, Provision("sidecar/1"));
   const std::string reply =
@@ -67,7 +67,7 @@
     Batch(host, 30, {"RESOLVED sidecar/1 r-a 0 10.0.0.1:80 " + std::string(outcome) + " 9 1 -"});
 }
 
-TEST(Wire, AListNumberIsReusedWithinABatch) {
+TEST(Wire, ATableNumberCanBeReusedWithinABatch) {
   Host host;
   auto lines = Provision("sidecar/1");
   auto more = Provision("sidecar/2");
@@ -81,7 +81,7 @@
   EXPECT_NE(two.find("10.9.9."), std::string::npos);
 }
 
-TEST(Wire, AKilledInstanceForgetsAndMayStartInTheSameBatch) {
+TEST(Wire, AStoppedInstanceLosesItsStateAndCanRestartInTheSameBatch) {
   Host host;
   Batch(host, 10, Provision("sidecar/1"));
   Batch(host, 20, {"ARRIVAL sidecar/1 r-a - 2000000 - 0 look -"});
@@ -92,13 +92,13 @@
   EXPECT_EQ(reply.find("r-a"), std::string::npos);
 }
 
-TEST(Wire, SettingsThatMakeNoSenseAreFatalForTheInstance) {
+TEST(Wire, InvalidSettingsAreFatalForTheInstance) {
   Host host;
   EXPECT_EQ(Batch(host, 10, {"PROVISION sidecar/1 5 grades.count=0"}),
             "FATAL sidecar/1 settings: no request classes\nDONE\n");
 }
 
-TEST(Wire, BadInputNamesTheLineTheVerbAndTheFault) {
+TEST(Wire, AnInvalidLineIsReportedWithItsNumberVerbAndError) {
   const std::vector<std::pair<std::string, std::string>> cases = {
       {"ARRIVAL sidecar/1 r-a x 1 - 0 look -", "line 7: ARRIVAL: cost_us 'x': not a whole number"},
       {"ARRIVAL sidecar/1 r-a 1 -1 - 0 look -", "line 7: ARRIVAL: budget_us '-1': negative"},
@@ -112,7 +112,7 @@
       {"RESOLVED sidecar/1 r-a 0 s success 9 2 -", "line 7: RESOLVED: settled '2': not 1 or 0"},
       {"DUE sidecar/1 99999999999999999999999",
        "line 7: DUE: ref '99999999999999999999999': not a whole number from 0"},
-      {"DUE sidecar/1 5 6", "line 7: DUE: line '6': more than it should hold"},
+      {"DUE sidecar/1 5 6", "line 7: DUE: end of line '6': unexpected extra fields"},
       {"DISCOVERY sidecar/1 D 3 16", "line 7: DISCOVERY: page: outside 0 to 15"},
       {"DISCOVERY sidecar/1 Q 3 1", "line 7: DISCOVERY: kind: not D, F, C or X"},
       {"ROW a b 1 - 0 s healthy", "line 7: ROW: outside a list"},
@@ -122,10 +122,10 @@
   };
   for (const auto& [line, expected] : cases) {
     Host host;
-    host.Line("BEGIN_BATCH 10");
-    for (const std::string& good : Provision("sidecar/1")) host.Line(good);
+    host.HandleLine("BEGIN_BATCH 10");
+    for (const std::string& good : Provision("sidecar/1")) host.HandleLine(good);
     try {
-      host.Line(line);
+      host.HandleLine(line);
       ADD_FAILURE() << "accepted: " << line;
     } catch (const WireError& error) {
       EXPECT_EQ(std::string(error.what()), expected);
@@ -133,7 +133,7 @@
   }
 }
 
-TEST(Wire, AMissingLoadValueIsAbsentAndNeverZero) {
+TEST(Wire, AMissingLoadValueIsAbsentInsteadOfZero) {
   const LoadReport load = ParseLoad("busy_reqs:3,svc_ms:1.5,cpu_share:-,novel:9");
   EXPECT_EQ(load.busy, 3.0);
   EXPECT_EQ(load.service_ms, 1.5);
@@ -143,14 +143,14 @@
     EXPECT_THROW(ParseLoad(bad), WireError) << bad;
 }
 
-TEST(Wire, PeerBytesAreHex) {
+TEST(Wire, PeerMessagesAreDecodedFromHexadecimal) {
   EXPECT_EQ(ParseHex("6869"), "hi");
   EXPECT_EQ(ParseHex("-"), "");
   EXPECT_THROW(ParseHex("686"), WireError);
   EXPECT_THROW(ParseHex("6g"), WireError);
 }
 
-TEST(Wire, EverySettingIsHandedOn) {
+TEST(Wire, EverySettingReachesTheModule) {
   const Settings s =
       ParseSettings(
           "allowed.conn_idle_us=5 allowed.dial_timeout_us=6 allowed.open_cap=7 allowed.cpu_us_per_s=8 "
@@ -185,8 +185,9 @@
   EXPECT_TRUE(s.classes[0].sequential);
 }
 
-// Truncated, mutated and random lines end in a WireError or are taken; the sanitizers watch the rest.
-TEST(Wire, NoInputCrashesIt) {
+// Truncated, mutated and random lines are accepted or throw a WireError. Builds with sanitizers find any
+// other fault.
+TEST(Wire, NoInputCausesACrash) {
   std::mt19937_64 random(11);
   const auto below = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
   std::vector<std::string> script = {"BEGIN_BATCH 10"};
@@ -198,14 +199,14 @@
         "MESSAGE sidecar/1 3 6869", "DISCOVERY sidecar/1 X 3 0", "DOWN sidecar/1", "COMMIT"})
     script.emplace_back(line);
   int rejected = 0;
-  int taken = 0;
+  int accepted = 0;
   for (int round = 0; round < 6000; ++round) {
     Host host;
-    const std::size_t spoiled = below(script.size());
+    const std::size_t mutated = below(script.size());
     try {
       for (std::size_t i = 0; i < script.size(); ++i) {
         std::string line = script[i];
-        if (i == spoiled) {
+        if (i == mutated) {
           if (round % 3 == 0) line.resize(below(line.size() + 1));
           if (round % 3 == 1)
             for (int k = 0; k < 3 && !line.empty(); ++k)
@@ -213,43 +214,43 @@
           if (round % 3 == 2)
             for (char& c : line) c = "0123456789-./ aZ=,\n"[below(19)];
         }
-        host.Line(line);
+        host.HandleLine(line);
       }
-      ++taken;
+      ++accepted;
     } catch (const WireError&) {
       ++rejected;
     }
   }
   EXPECT_GT(rejected, 3000);
-  EXPECT_GT(taken, 100);
+  EXPECT_GT(accepted, 100);
 }
 
-// A reply without the lines of other instances.
-std::string Own(const std::string& reply, const std::string& name) {
-  std::string own;
+// The lines of a reply that belong to one instance.
+std::string LinesOf(const std::string& reply, const std::string& name) {
+  std::string lines;
   std::size_t at = 0;
   while (at < reply.size()) {
     const std::size_t end = reply.find('\n', at);
     const std::string line = reply.substr(at, end - at);
-    if (line.find(" " + name + " ") != std::string::npos) own += line + "\n";
+    if (line.find(" " + name + " ") != std::string::npos) lines += line + "\n";
     at = end + 1;
   }
-  return own;
+  return lines;
 }
 
-TEST(Wire, InterleavedInstancesActAsTheyWouldAlone) {
+TEST(Wire, InterleavedInstancesActAsIfEachRanAlone) {
   const std::vector<std::string> names = {"sidecar/0", "sidecar/1", "sidecar/2"};
   Host together;
   std::vector<Host> alone(names.size());
   std::mt19937_64 random(3);
-  const auto play = [&](std::int64_t now, const std::vector<std::vector<std::string>>& by_name) {
+  const auto run_batch = [&](std::int64_t now, const std::vector<std::vector<std::string>>& by_name) {
     std::vector<std::string> all;
     for (std::size_t k = 0; k < 12; ++k)  // one line of each in turn
       for (const auto& lines : by_name)
         if (k < lines.size()) all.push_back(lines[k]);
     const std::string mixed = Batch(together, now, all);
     for (std::size_t i = 0; i < names.size(); ++i)
-      EXPECT_EQ(Own(mixed, names[i]), Own(Batch(alone[i], now, by_name[i]), names[i]));
+      EXPECT_EQ(LinesOf(mixed, names[i]), LinesOf(Batch(alone[i], now, by_name[i]), names[i]));
     return mixed;
   };
   std::vector<std::vector<std::string>> lines;
@@ -272,7 +273,7 @@
         lines[i].push_back("RESOLVED " + names[i] + " r-" + std::to_string(round - 1) + " 0 s " + outcome);
       }
     }
-    play(100 + round * 5000, lines);
+    run_batch(100 + round * 5000, lines);
   }
 }
 
