--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -19,7 +19,7 @@
                  [this](const nlohmann::json& object) { OnObject(object); }, [this] { OnHeard(); }}),
       last_heard_(Clock::now()) {
   state_.Read(feed_.store());
-  if (feed_.store().known()) upstream_.Know(feed_.store().generation());
+  if (feed_.store().known()) upstream_.SetKnownGeneration(feed_.store().generation());
   upstream_.Watch();
 }
 
--- a/scale/hollow.cpp
+++ b/scale/hollow.cpp
@@ -20,7 +20,7 @@
 
 net::Discovery::Timing DiscoveryTiming(const drill::WireSettings& settings) {
   net::Discovery::Timing timing;
-  timing.reopens = !settings.settings.must_subscribe;
+  timing.reopens_itself = !settings.settings.must_subscribe;
   return timing;
 }
 
@@ -45,7 +45,7 @@
       clock_offset_(ClockOffset()),
       discovery_(io, std::move(discovery), settings, DiscoveryTiming(settings), seed,
                  {[this](const net::EndpointList& list) {
-                    OnList(list.whole ? ListUpdate::Kind::kFull : ListUpdate::Kind::kDelta, list);
+                    OnList(list.full ? ListUpdate::Kind::kFull : ListUpdate::Kind::kDelta, list);
                   },
                   [this](Micros within) { OnDiscoveryFailed(within); }}) {
   std::string error;
@@ -64,7 +64,7 @@
 void HollowSidecar::Reload(const net::Tcp::endpoint& discovery) {
   started_ = SteadyNow();
   first_list_after_ = watching_after_ = 0;
-  discovery_.Switch(discovery);
+  discovery_.SwitchTo(discovery);
 }
 
 std::string HollowSidecar::SendOne() {
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -273,7 +273,7 @@
                             {"void", Result::kNeverSent}});
 }
 
-std::optional<double>* LoadField(LoadReport& load, std::string_view name) {
+std::optional<double>* FindLoadField(LoadReport& load, std::string_view name) {
   for (const auto& [known, field] : kLoadFields)
     if (known == name) return &(load.*field);
   return nullptr;
@@ -289,7 +289,7 @@
     if (value == "-") continue;
     const double number = Parse<double>(value, "stats", "not a number");
     if (!std::isfinite(number) || number < 0) ThrowInvalid("stats", pair, "not a finite number from 0");
-    if (auto* const field = LoadField(load, std::string_view(pair).substr(0, colon))) *field = number;
+    if (auto* const field = FindLoadField(load, std::string_view(pair).substr(0, colon))) *field = number;
   }
   return load;
 }
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -52,7 +52,7 @@
 WireSettings ParseSettings(std::string_view pairs);
 Result ParseResult(std::string_view word);
 // Returns the field of a load report by its name in reports, or null if the name is unknown.
-std::optional<double>* LoadField(LoadReport& load, std::string_view name);
+std::optional<double>* FindLoadField(LoadReport& load, std::string_view name);
 // Parses name:value pairs, separated by commas. `-` means no report.
 LoadReport ParseLoad(std::string_view pairs);
 // Decodes bytes from hexadecimal digits. `-` means no bytes.
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -29,7 +29,7 @@
 }
 
 ListAge::Timing AgeTiming(const Discovery::Timing& timing) {
-  return {timing.missed_change_delay, timing.switch_delay, /*pushed=*/timing.reopens};
+  return {timing.missed_change_delay, timing.switch_delay, /*pushed=*/timing.reopens_itself};
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
     request_.target(full_list_ ? "/v1/endpoints"
                                : "/v1/endpoints?stream=1&index=" + std::to_string(owner_->generation_));
     request_.set(http::field::host, "discovery");
-    answer_timeout_ = owner_->age_.AnswerTimeout(began_, owner_->timing_.answer);
+    answer_timeout_ = owner_->age_.AnswerTimeout(began_, owner_->timing_.answer_timeout);
     tcp_.expires_after(ToDuration(std::min(owner_->timing_.connect_timeout, answer_timeout_)));
     tcp_.async_connect(owner_->address_, [self = shared_from_this()](ErrorCode error) {
       if (error) return self->End(CallResult::kUnreachable, error.message());
@@ -73,8 +73,8 @@
   void ExpectData() {
     last_data_at_ = Clock::now();
     if (!objects_.inside_object()) last_data_before_object_at_ = last_data_at_;
-    tcp_.expires_at(std::min(last_data_at_ + ToDuration(owner_->timing_.silence),
-                             last_data_before_object_at_ + ToDuration(owner_->timing_.answer)));
+    tcp_.expires_at(std::min(last_data_at_ + ToDuration(owner_->timing_.silence_timeout),
+                             last_data_before_object_at_ + ToDuration(owner_->timing_.answer_timeout)));
   }
 
   void SendRequest() {
@@ -202,7 +202,7 @@
   if (call_ == nullptr) Open();
 }
 
-void Discovery::Switch(const Tcp::endpoint& address) {
+void Discovery::SwitchTo(const Tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   generation_ = kUnknown;
@@ -214,7 +214,7 @@
   Open();
 }
 
-std::optional<ListAge::Time> Discovery::binds_unheard() const {
+std::optional<ListAge::Time> Discovery::missed_changes_take_effect_at() const {
   const bool watching = call_ != nullptr && call_->has_data() && !call_->full_list();
   return watching ? std::nullopt : age_.missed_changes_take_effect_at();
 }
@@ -243,7 +243,7 @@
     std::fprintf(stderr, "discovery: call %llu answered after %.3f s: version %lld, %zu entries%s\n",
                  static_cast<unsigned long long>(call.number()), SecondsSince(call.began()),
                  static_cast<long long>(list->generation), list->endpoints.size(),
-                 list->whole ? ", full list" : "");
+                 list->full ? ", full list" : "");
   failures_ = 0;
   invalid_data_logged_ = false;
   generation_ = list->generation;
@@ -255,7 +255,7 @@
 // Changes apply only to the list that precedes them. A lower generation comes from a discovery that has
 // started from scratch, so its changes do not apply to the known list.
 bool Discovery::IsApplicable(const EndpointList& list) const {
-  return list.whole || (generation_ != kUnknown && list.generation >= generation_);
+  return list.full || (generation_ != kUnknown && list.generation >= generation_);
 }
 
 void Discovery::Reject(Call& call, const std::string& reason) {
@@ -279,10 +279,10 @@
       SecondsSince(last_data_at_), std::chrono::duration<double>(ToDuration(within)).count());
   const int failures = failures_++;
   events_.on_failed(within);
-  if (!timing_.reopens) return;
+  if (!timing_.reopens_itself) return;
   // Without jitter, all sidecars would call discovery in the same instant when it comes back.
   const Micros max_wait =
-      std::min({timing_.backoff_base << std::min(failures, 10), timing_.backoff_most, within});
+      std::min({timing_.backoff_base << std::min(failures, 10), timing_.backoff_max, within});
   backoff_.expires_after(
       std::chrono::microseconds(std::uniform_int_distribution<Micros>(0, max_wait)(random_)));
   backoff_.async_wait([this](ErrorCode error) {
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -29,13 +29,15 @@
 
   struct Timing {
     Micros connect_timeout = 2'000'000;
-    Micros silence = 2'700'000;  // without any data on a watch; discovery sends an empty line every 2 s
-    Micros answer = 4'500'000;   // from a call to its answer at most, and for one object to arrive completely
+    Micros silence_timeout =
+        2'700'000;  // without any data on a watch; discovery sends an empty line every 2 s
+    Micros answer_timeout =
+        4'500'000;  // from a call to its answer at most, and for one object to arrive completely
     Micros missed_change_delay = 6'000'000;  // as in ListAge::Timing
     Micros switch_delay = 4'000'000;         // as in ListAge::Timing
-    Micros backoff_base = 200'000;    // the wait before the n-th reopening is random(0, base * 2^n) ...
-    Micros backoff_most = 1'000'000;  // ... up to this maximum
-    bool reopens = true;              // false: the owner decides when Watch is called again
+    Micros backoff_base = 200'000;   // the wait before the n-th reopening is random(0, base * 2^n) ...
+    Micros backoff_max = 1'000'000;  // ... up to this maximum
+    bool reopens_itself = true;      // false: the owner decides when Watch is called again
   };
   struct Events {
     std::function<void(const EndpointList&)> on_list;
@@ -55,20 +57,20 @@
   Discovery& operator=(const Discovery&) = delete;
 
   // Sets the generation of the list that is already known; to be called before the first watch.
-  void Know(std::int64_t generation) { generation_ = generation; }
+  void SetKnownGeneration(std::int64_t generation) { generation_ = generation; }
 
   // Opens the watch for all changes after the known generation. Does nothing if a call is in progress.
   void Watch();
 
   // Follows the discovery at another address from now on. Generations of two discoveries are not comparable,
   // so the full list is requested first. Does nothing if the address is the same.
-  void Switch(const Tcp::endpoint& address);
+  void SwitchTo(const Tcp::endpoint& address);
 
   // From when on missed changes take effect. Empty while a watch delivers data, and while discovery is down
   // and cannot learn of changes.
-  std::optional<ListAge::Time> binds_unheard() const;
+  std::optional<ListAge::Time> missed_changes_take_effect_at() const;
   // Whether missed changes are only possible or known to exist.
-  MissedChanges unheard() const { return age_.missed_changes(); }
+  MissedChanges missed_changes() const { return age_.missed_changes(); }
 
  private:
   using Clock = std::chrono::steady_clock;
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -59,7 +59,7 @@
   try {
     EndpointList list;
     list.generation = json.at("generation").get<std::int64_t>();
-    list.whole = json.at("reset").get<bool>();
+    list.full = json.at("reset").get<bool>();
     for (const nlohmann::json& entry : json.at("instances"))
       list.endpoints.push_back(ParseEntry(entry, names, error));
     if (error.empty()) return list;
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -23,7 +23,7 @@
 
 // One message of discovery: the full list, or the entries that changed since the generation before it.
 struct EndpointList {
-  bool whole = false;  // the full list; otherwise only changed entries
+  bool full = false;  // the full list; otherwise only changed entries
   std::int64_t generation = 0;
   std::vector<Endpoint> endpoints;
 };
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -112,7 +112,7 @@
 
 Discovery::Timing DiscoveryTiming(const Config& config) {
   Discovery::Timing timing;
-  timing.reopens = !config.wire.settings.must_subscribe;
+  timing.reopens_itself = !config.wire.settings.must_subscribe;
   return timing;
 }
 
@@ -141,7 +141,7 @@
       upstream_(io, UpstreamLimits(config_), budget_, counters_),
       discovery_(io, config_.discovery, config_.wire, DiscoveryTiming(config_), config_.seed,
                  {[this](const EndpointList& list) {
-                    OnList(list.whole ? ListUpdate::Kind::kFull : ListUpdate::Kind::kDelta, list);
+                    OnList(list.full ? ListUpdate::Kind::kFull : ListUpdate::Kind::kDelta, list);
                   },
                   [this](Micros within) { OnDiscoveryFailed(within); },
                   /*on_object=*/{}, [this] { OnDiscoveryHeard(); }}),
@@ -178,15 +178,15 @@
                                                        std::move(handlers));
   }
   OnList(ListUpdate::Kind::kStale, config_.last_known_list);
-  discovery_.Know(config_.last_known_list.endpoints.empty() ? Discovery::kUnknown
-                                                            : config_.last_known_list.generation);
+  discovery_.SetKnownGeneration(
+      config_.last_known_list.endpoints.empty() ? Discovery::kUnknown : config_.last_known_list.generation);
   if (config_.wire.settings.takes_over && !balancer_->RestoreLearnedState(Now(), shared_.ReadHandover()))
     std::fprintf(stderr, "shared folder: nothing to be learnt from the process before this one\n");
   if (!config_.wire.settings.must_subscribe) discovery_.Watch();
   if (config_.accept_fd || config_.management) Look();
 }
 
-void Sidecar::Reload(const Config& config) { discovery_.Switch(config.discovery); }
+void Sidecar::Reload(const Config& config) { discovery_.SwitchTo(config.discovery); }
 
 // ---- What operators ask ----
 
@@ -241,7 +241,7 @@
 
 void Sidecar::OnList(ListUpdate::Kind kind, const EndpointList& list) {
   EndpointList applied = list;
-  applied.whole = kind != ListUpdate::Kind::kDelta;
+  applied.full = kind != ListUpdate::Kind::kDelta;
   upstream_.Apply(applied);
   std::vector<ServerInfo> servers;
   servers.reserve(list.endpoints.size());
@@ -256,15 +256,15 @@
 // Tells the module from when on changes bind that were not heard. A watch that has not said anything yet, or
 // a list that is still coming in, changes nothing.
 void Sidecar::OnListAging() {
-  const auto binds = discovery_.binds_unheard();
+  const auto binds = discovery_.missed_changes_take_effect_at();
   if (!binds) return balancer_->OnListStaleness(Now(), std::nullopt);
   const auto left =
       std::chrono::duration_cast<std::chrono::microseconds>(*binds - std::chrono::steady_clock::now());
-  balancer_->OnListStaleness(Now(), Now() + left.count(), discovery_.unheard());
+  balancer_->OnListStaleness(Now(), Now() + left.count(), discovery_.missed_changes());
 }
 
 void Sidecar::OnDiscoveryHeard() {
-  if (!discovery_.binds_unheard()) balancer_->OnListStaleness(Now(), std::nullopt);
+  if (!discovery_.missed_changes_take_effect_at()) balancer_->OnListStaleness(Now(), std::nullopt);
 }
 
 void Sidecar::OnDiscoveryFailed(Micros within) {
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -497,7 +497,7 @@
 
 void Upstream::Apply(const EndpointList& list) {
   std::unordered_map<std::string, std::shared_ptr<Server>> before;
-  if (list.whole) before.swap(servers_);
+  if (list.full) before.swap(servers_);
   for (const Endpoint& endpoint : list.endpoints) {
     std::shared_ptr<Server>& server = servers_[endpoint.info.id];
     const auto old = before.find(endpoint.info.id);
--- a/src/net/validate.cpp
+++ b/src/net/validate.cpp
@@ -131,7 +131,7 @@
     const std::size_t equals = pair.find('=', name);
     if (equals == std::string_view::npos) continue;
     const auto value = ParseDecimal(pair.substr(equals + 1));
-    std::optional<double>* const field = drill::LoadField(load, pair.substr(name, equals - name));
+    std::optional<double>* const field = drill::FindLoadField(load, pair.substr(name, equals - name));
     if (value && field != nullptr) *field = value;
   }
   return load;
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -25,19 +25,19 @@
       peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + scripts[n]);
       if (scripts[n].empty()) peer.Close();
     });
-    timing.backoff_base = timing.backoff_most = 2'000;
+    timing.backoff_base = timing.backoff_max = 2'000;
     discovery = std::make_unique<Discovery>(
         io, server->address, names, timing, 1,
         Discovery::Events{[this](const EndpointList& list) { lists.push_back(list); },
                           [this](Micros time) { ++failures, within = time; }});
-    discovery->Know(41);
+    discovery->SetKnownGeneration(41);
     discovery->Watch();
   }
   // Timeouts of a day, so that on a busy machine no watch counts as silent and no missed change takes effect.
   // Each test shortens only those that it is about.
   static Discovery::Timing LongTimeouts() {
     Discovery::Timing timing;
-    timing.silence = timing.answer = timing.missed_change_delay = timing.switch_delay = kDay;
+    timing.silence_timeout = timing.answer_timeout = timing.missed_change_delay = timing.switch_delay = kDay;
     return timing;
   }
   static constexpr Micros kDay = Micros{24} * 3600 * 1'000'000;
@@ -64,7 +64,7 @@
   EXPECT_EQ(lists[0].generation, 42);
   EXPECT_EQ(lists[1].endpoints[0].info.id, "s-b");
   EXPECT_EQ(lists[1].endpoints[0].info.zone, 1);
-  EXPECT_FALSE(lists[1].whole);
+  EXPECT_FALSE(lists[1].full);
   EXPECT_EQ(failures, 0);
 }
 
@@ -77,7 +77,7 @@
 
 TEST_F(DiscoveryTest, ReopensAWatchThatFallsSilent) {
   Discovery::Timing timing = LongTimeouts();
-  timing.silence = 100'000;
+  timing.silence_timeout = 100'000;
   Start({Chunk(Line(42, "s-a")), Chunk(Line(43, "s-b"))}, timing);
   EXPECT_TRUE(RunUntil(io, [&] { return lists.size() >= 2; }));
 }
@@ -86,44 +86,44 @@
 // the time left, so that one more fits in if that one is silent too.
 TEST_F(DiscoveryTest, AfterASilentWatchDiscoveryIsCalledAgainBeforeMissedChangesTakeEffect) {
   Discovery::Timing timing = LongTimeouts();
-  timing.reopens = false;
-  timing.silence = 100'000;
+  timing.reopens_itself = false;
+  timing.silence_timeout = 100'000;
   Start({Chunk(Line(42, "s-a")), Chunk(Line(43, "s-b")) + "0\r\n\r\n"}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
   EXPECT_GT(within, 0);
-  EXPECT_LE(within, (kDay - timing.silence) / 3);
+  EXPECT_LE(within, (kDay - timing.silence_timeout) / 3);
   discovery->Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 2; }));
   ASSERT_EQ(lists.size(), 2U);  // the second watch delivered its list
   // It ended in order just now and missed nothing before, so what changes from now on takes effect later.
-  EXPECT_GT(within, (kDay - timing.silence) / 3);
+  EXPECT_GT(within, (kDay - timing.silence_timeout) / 3);
   EXPECT_LE(within, kDay / 2);
 }
 
 TEST_F(DiscoveryTest, AfterASwitchDiscoveryIsCalledAgainBeforeMissedChangesTakeEffect) {
   Discovery::Timing timing = LongTimeouts();
-  timing.reopens = false;
-  timing.answer = 50'000;
+  timing.reopens_itself = false;
+  timing.answer_timeout = 50'000;
   Start({Chunk(Line(42, "s-a"))}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
   ScriptedServer silent(io);
-  discovery->Switch(silent.address);
+  discovery->SwitchTo(silent.address);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
   EXPECT_GT(within, 0);
-  EXPECT_LE(within, (kDay - timing.answer) / 3);
+  EXPECT_LE(within, (kDay - timing.answer_timeout) / 3);
 }
 
 // Missed changes take effect during the first call, which is given up later. The grace period of a drain runs
 // from then on: discovery is called again soon, with a backoff as more calls fail.
 TEST_F(DiscoveryTest, RetriesBackOffOnceMissedChangesHaveTakenEffectAfterASwitch) {
   Discovery::Timing timing = LongTimeouts();
-  timing.reopens = false;
+  timing.reopens_itself = false;
   timing.switch_delay = 1'000;
-  timing.answer = 50'000;
+  timing.answer_timeout = 50'000;
   Start({Chunk(Line(42, "s-a"))}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
   ScriptedServer silent(io);
-  discovery->Switch(silent.address);
+  discovery->SwitchTo(silent.address);
   for (const Micros expected : {1'000'000, 2'000'000, 2'000'000}) {
     within = -1;
     ASSERT_TRUE(RunUntil(io, [&] { return within >= 0; }));
@@ -135,61 +135,61 @@
 // A failed call delivers nothing, so the time is still counted from the last data of the watch.
 TEST_F(DiscoveryTest, AFailedCallDoesNotPostponeMissedChanges) {
   Discovery::Timing timing = LongTimeouts();
-  timing.reopens = false;
-  timing.answer = 50'000;
+  timing.reopens_itself = false;
+  timing.answer_timeout = 50'000;
   Start({Chunk(Line(42, "s-a")) + "0\r\n\r\n", ""}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
-  const auto takes_effect_at = discovery->binds_unheard();
+  const auto takes_effect_at = discovery->missed_changes_take_effect_at();
   ASSERT_TRUE(takes_effect_at.has_value());
   server->on_data = [](Peer&) {};  // never answers the next calls
   for (const int calls : {2, 3}) {
     discovery->Watch();
     ASSERT_TRUE(RunUntil(io, [&] { return failures == calls; }));
-    EXPECT_EQ(discovery->binds_unheard(), takes_effect_at);
+    EXPECT_EQ(discovery->missed_changes_take_effect_at(), takes_effect_at);
   }
 }
 
 // Discovery has written the change, so a partial object counts as announced.
 TEST_F(DiscoveryTest, APartialObjectTakesEffectFromItsFirstByte) {
   Discovery::Timing timing = LongTimeouts();
-  timing.reopens = false;
+  timing.reopens_itself = false;
   const std::string line = Line(43, "s-b");
   Start({Chunk(Line(42, "s-a")) + Chunk(line.substr(0, line.size() / 2)) + "0\r\n\r\n"}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
-  ASSERT_TRUE(discovery->binds_unheard().has_value());
-  EXPECT_LE(*discovery->binds_unheard(), std::chrono::steady_clock::now());
+  ASSERT_TRUE(discovery->missed_changes_take_effect_at().has_value());
+  EXPECT_LE(*discovery->missed_changes_take_effect_at(), std::chrono::steady_clock::now());
   EXPECT_LE(within, 1'000'000);
 }
 
 // A partial object must stay recorded when the next answer begins with another partial one.
 TEST_F(DiscoveryTest, APartialObjectDoesNotConfirmTheList) {
   Discovery::Timing timing = LongTimeouts();
-  timing.reopens = false;
+  timing.reopens_itself = false;
   const std::string half = Chunk(Line(43, "s-b").substr(0, 20));
   Start({Chunk(Line(42, "s-a")) + half + "0\r\n\r\n", half}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
-  const auto takes_effect_at = discovery->binds_unheard();
-  EXPECT_EQ(discovery->unheard(), MissedChanges::kAnnounced);
+  const auto takes_effect_at = discovery->missed_changes_take_effect_at();
+  EXPECT_EQ(discovery->missed_changes(), MissedChanges::kAnnounced);
   discovery->Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return watches == 2; }));
   RunFor(io, 50ms);
-  EXPECT_EQ(discovery->unheard(), MissedChanges::kAnnounced);
+  EXPECT_EQ(discovery->missed_changes(), MissedChanges::kAnnounced);
   server->peers[1]->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 2; }));
-  EXPECT_EQ(discovery->binds_unheard(), takes_effect_at);
+  EXPECT_EQ(discovery->missed_changes_take_effect_at(), takes_effect_at);
 }
 
 // A reload must not discard the record of an object that the old address had begun to send.
 TEST_F(DiscoveryTest, ASwitchInTheMiddleOfAnObjectRecordsItAsPartial) {
   Discovery::Timing timing = LongTimeouts();
-  timing.reopens = false;
+  timing.reopens_itself = false;
   Start({Chunk(Line(42, "s-a")) + Chunk(Line(43, "s-b").substr(0, 20))}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
   RunFor(io, 50ms);
   ScriptedServer silent(io);
-  discovery->Switch(silent.address);
-  EXPECT_EQ(discovery->unheard(), MissedChanges::kAnnounced);
-  EXPECT_LE(discovery->binds_unheard(), ListAge::Clock::now());
+  discovery->SwitchTo(silent.address);
+  EXPECT_EQ(discovery->missed_changes(), MissedChanges::kAnnounced);
+  EXPECT_LE(discovery->missed_changes_take_effect_at(), ListAge::Clock::now());
 }
 
 // Whatever the settings allow after a failed call, a change takes effect 6 s after a reachable discovery had
@@ -197,8 +197,8 @@
 TEST_F(DiscoveryTest, AfterAFailedCallDiscoveryIsCalledAgainBeforeAChangeTakesEffect) {
   EXPECT_EQ(Discovery::Timing().missed_change_delay, 6'000'000);
   Discovery::Timing timing = LongTimeouts();
-  timing.reopens = false;
-  timing.answer = 400'000;
+  timing.reopens_itself = false;
+  timing.answer_timeout = 400'000;
   ScriptedServer refusing(io, [](Peer& peer) { peer.Write(Reply("503 Service Unavailable", "")); });
   ScriptedServer silent(io);
   ScriptedServer gone(io);
@@ -211,7 +211,7 @@
     fresh.Watch();
     ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
     // A call that timed out has used part of the time.
-    EXPECT_LE(within, (address == silent.address ? kDay - timing.answer : kDay) / 2);
+    EXPECT_LE(within, (address == silent.address ? kDay - timing.answer_timeout : kDay) / 2);
     EXPECT_GT(within, 0);
   }
 }
@@ -241,14 +241,14 @@
     peer.Write(watch ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunk(Line(8, "s-b"))
                      : Reply("200 OK", whole));
   });
-  discovery->Switch(other.address);
+  discovery->SwitchTo(other.address);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 3; }));
   EXPECT_EQ(other.peers[0]->received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0), 0U);
-  EXPECT_TRUE(lists[1].whole);  // its lower generation is accepted, as each address counts its own
+  EXPECT_TRUE(lists[1].full);  // its lower generation is accepted, as each address counts its own
   EXPECT_EQ(lists[2].generation, 8);
   EXPECT_TRUE(RunUntil(io, [&] { return server->peers[0]->ended; }));
   EXPECT_EQ(failures, 0);
-  discovery->Switch(other.address);  // the same address: the watch stays open
+  discovery->SwitchTo(other.address);  // the same address: the watch stays open
   RunFor(io, 30ms);
   EXPECT_EQ(other.peers.size(), 2U);
 }
@@ -258,8 +258,8 @@
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
   ScriptedServer silent(io);
   ScriptedServer other(io, [](Peer& peer) { peer.Write(Reply("200 OK", List(3, true, {}).dump())); });
-  discovery->Switch(silent.address);
-  discovery->Switch(other.address);
+  discovery->SwitchTo(silent.address);
+  discovery->SwitchTo(other.address);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() >= 2; }));
   EXPECT_EQ(lists[1].generation, 3);
 }
@@ -276,7 +276,7 @@
 
 TEST_F(DiscoveryTest, LeavesReopeningToTheModuleWhereListsAreRequested) {
   Discovery::Timing timing = LongTimeouts();
-  timing.reopens = false;
+  timing.reopens_itself = false;
   Start({"0\r\n\r\n"}, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 1; }));
   RunFor(io, 50ms);
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -21,18 +21,18 @@
       : discovery(io, address, names, Timing(), 7,
                   {[this](const net::EndpointList& list) { Take(list); },
                    [this](std::optional<Micros>) { ++failures; }}) {
-    discovery.Know(known);
+    discovery.SetKnownGeneration(known);
     discovery.Watch();
   }
   static net::Discovery::Timing Timing() {
     net::Discovery::Timing timing;
-    timing.backoff_base = timing.backoff_most = 2'000;
-    timing.silence = timing.answer = 60'000'000;  // a busy machine is no reason to ask again
+    timing.backoff_base = timing.backoff_max = 2'000;
+    timing.silence_timeout = timing.answer_timeout = 60'000'000;  // a busy machine is no reason to ask again
     return timing;
   }
   void Take(const net::EndpointList& list) {
     lists.push_back(list);
-    if (list.whole) states.clear();
+    if (list.full) states.clear();
     for (const net::Endpoint& server : list.endpoints) {
       states[server.info.id] = server.info.state;
       if (server.info.state == ServerInfo::State::kGone) states.erase(server.info.id);
@@ -54,7 +54,7 @@
     config.upstream = upstream.server.address;
     config.batch = 0ms;
     // The scripted upstream says nothing of itself: a busy machine is no reason to take it for silent.
-    config.timing.silence = config.timing.answer = 24LL * 3600 * 1'000'000;
+    config.timing.silence_timeout = config.timing.answer_timeout = 24LL * 3600 * 1'000'000;
   }
   ~RelayTest() override {
     if (!config.state.empty()) std::filesystem::remove(config.state);
@@ -96,7 +96,7 @@
   Start();
   Sidecar sidecar(io, relay->addresses().front());
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar.lists.size() == 2; }));  // the whole, and a watch from there
-  EXPECT_TRUE(sidecar.lists[0].whole);
+  EXPECT_TRUE(sidecar.lists[0].full);
   Change(42, "b", "draining");
   Change(43, "a", "removed");
   Change(44, "c");
--- a/tests/scale/discovery_stand_in_test.cpp
+++ b/tests/scale/discovery_stand_in_test.cpp
@@ -37,9 +37,9 @@
                    [this](std::optional<Micros>) { ++failures; }}) {}
   static net::Discovery::Timing Timing(bool reopens, Micros silence) {
     net::Discovery::Timing timing;
-    timing.reopens = reopens;
-    timing.silence = silence;
-    timing.backoff_base = timing.backoff_most = 2'000;
+    timing.reopens_itself = reopens;
+    timing.silence_timeout = silence;
+    timing.backoff_base = timing.backoff_max = 2'000;
     return timing;
   }
 
@@ -79,7 +79,7 @@
   const std::int64_t before = stand_in->generation();
   EXPECT_EQ(stand_in->Change({Server(1, Entry::Lifecycle::kRemoved), Server(7)}), before + 1);
   ASSERT_TRUE(RunUntil(io, [&] { return client.lists.size() == 3; }));
-  EXPECT_TRUE(client.lists[0].whole);
+  EXPECT_TRUE(client.lists[0].full);
   ASSERT_EQ(client.lists[0].endpoints.size(), 3U);
   const net::Endpoint& server = client.lists[0].endpoints[2];
   EXPECT_EQ(server.info.id, "s-2");
@@ -89,7 +89,7 @@
   EXPECT_EQ(server.info.cell, 2);
   EXPECT_EQ(server.info.weight, 1.5);
   EXPECT_EQ(server.info.started, 1'700'000'000'123'000);
-  EXPECT_FALSE(client.lists[1].whole);  // the watch begins where the list ended
+  EXPECT_FALSE(client.lists[1].full);  // the watch begins where the list ended
   EXPECT_TRUE(client.lists[1].endpoints.empty());
   EXPECT_EQ(client.lists[2].generation, before + 1);
   ASSERT_EQ(client.lists[2].endpoints.size(), 2U);
@@ -117,10 +117,10 @@
   stand_in->Change({Server(2, Entry::Lifecycle::kDraining)});
   stand_in->Change({Server(1, Entry::Lifecycle::kRemoved)});
   Client& client = Join();
-  client.discovery.Know(had);
+  client.discovery.SetKnownGeneration(had);
   client.discovery.Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return !client.lists.empty(); }));
-  EXPECT_FALSE(client.lists[0].whole);
+  EXPECT_FALSE(client.lists[0].full);
   EXPECT_EQ(client.lists[0].generation, had + 3);
   ASSERT_EQ(client.lists[0].endpoints.size(), 2U);
   EXPECT_EQ(client.lists[0].endpoints[0].info.state, ServerInfo::State::kGone);
@@ -135,17 +135,17 @@
   for (int i = 0; i < 3; ++i) stand_in->Change({Server(i, Entry::Lifecycle::kDraining)});
   for (const std::int64_t index : {had, had + 100}) {
     Client& client = Join();
-    client.discovery.Know(index);
+    client.discovery.SetKnownGeneration(index);
     client.discovery.Watch();
     ASSERT_TRUE(RunUntil(io, [&] { return !client.lists.empty(); }));
-    EXPECT_TRUE(client.lists[0].whole);
+    EXPECT_TRUE(client.lists[0].full);
     EXPECT_EQ(client.lists[0].endpoints.size(), 3U);
   }
   Client& near = Join();
-  near.discovery.Know(had + 1);
+  near.discovery.SetKnownGeneration(had + 1);
   near.discovery.Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return !near.lists.empty(); }));
-  EXPECT_FALSE(near.lists[0].whole);
+  EXPECT_FALSE(near.lists[0].full);
   EXPECT_EQ(near.lists[0].endpoints.size(), 2U);
 }
 
@@ -263,12 +263,12 @@
   stand_in->Change({Server(2, Entry::Lifecycle::kRemoved)});
   stand_in->Return();
   ASSERT_TRUE(RunUntil(io, [&] { return client.lists.size() == 3; }));
-  EXPECT_FALSE(client.lists[2].whole);
+  EXPECT_FALSE(client.lists[2].full);
   EXPECT_EQ(client.lists[2].endpoints.size(), 1U);
   stand_in->Die();
   stand_in->Return(/*anew=*/true);
   ASSERT_TRUE(RunUntil(io, [&] { return client.lists.size() == 4; }));
-  EXPECT_TRUE(client.lists[3].whole);
+  EXPECT_TRUE(client.lists[3].full);
   EXPECT_EQ(client.lists[3].generation, 1);
 }
 
