--- a/src/drill/host.cpp
+++ b/src/drill/host.cpp
@@ -60,6 +60,7 @@
 
 }  // namespace
 
+// One simulated sidecar: its settings, its balancer and the sink of its actions.
 class Host::Instance {
  public:
   Instance(std::string_view name, std::uint64_t seed, WireSettings wire, Micros now, std::string& reply)
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -29,17 +29,22 @@
 
   struct Timing {
     Micros connect_timeout = 2'000'000;
-    Micros silence_timeout =
-        2'700'000;  // without any data on a watch; discovery sends an empty line every 2 s
-    Micros answer_timeout =
-        4'500'000;  // from a call to its answer at most, and for one object to arrive completely
-    Micros missed_change_delay = 6'000'000;  // as in ListAge::Timing
-    Micros switch_delay = 4'000'000;         // as in ListAge::Timing
+    // For the next data of an open watch. Discovery sends an empty line every 2 s.
+    Micros silence_timeout = 2'700'000;
+    // For the answer to a call, shortened when missed changes take effect earlier, and for one object to
+    // arrive completely.
+    Micros answer_timeout = 4'500'000;
+    // What a watch or a failed call misses takes effect this long after the last data of the watch or the
+    // start of the call.
+    Micros missed_change_delay = 6'000'000;
+    // What another discovery lists takes effect this long after the switch to it.
+    Micros switch_delay = 4'000'000;
     Micros backoff_base = 200'000;   // the wait before the n-th reopening is random(0, base * 2^n) ...
     Micros backoff_max = 1'000'000;  // ... up to this maximum
     bool reopens_itself = true;      // false: the owner decides when Watch is called again
   };
   struct Events {
+    // A full list or a change of it has been received.
     std::function<void(const EndpointList&)> on_list;
     // The watch ended or could not be opened. Watch has to be called again within this many microseconds, as
     // missed changes take effect soon after, received or not.
--- a/src/net/list_age.hpp
+++ b/src/net/list_age.hpp
@@ -19,7 +19,7 @@
   using Time = Clock::time_point;
 
   struct Timing {
-    Micros missed_change_delay = 6'000'000;  // from a change to its effect, if it is not received earlier
+    Micros missed_change_delay = 6'000'000;  // from a change to its effect, received or not
     Micros switch_delay =
         4'000'000;        // from a switch to another discovery to the effect of what that one lists
     bool pushed = false;  // discovery pushes its lists: a change takes effect at once while no watch is open
