--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -1,5 +1,5 @@
-// One sidecar: brings the application, the servers and discovery together around the decision module. Every
-// decision is the module's; this holds the requests, the timers and the clock.
+// The sidecar: connects the application, the servers and discovery to the decision module (Balancer). The
+// Balancer takes every balancing decision; the Sidecar owns the requests, the timers and the clock.
 #ifndef MERLINRUN_NET_SIDECAR_HPP_
 #define MERLINRUN_NET_SIDECAR_HPP_
 
@@ -28,57 +28,62 @@
 
 namespace merlinrun::net {
 
+// One sidecar process. Reports events (requests, outcomes, lists, timers) to the Balancer and carries out
+// the actions that the Balancer requests through the ActionSink interface.
 class Sidecar : private ActionSink {
  public:
-  // Throws ConfigError if the settings make no sense; opens no socket.
+  // Throws ConfigError if the settings are invalid; opens no socket.
   Sidecar(asio::io_context& io, Config config);
   ~Sidecar() override;
   Sidecar(const Sidecar&) = delete;
   Sidecar& operator=(const Sidecar&) = delete;
 
-  // Listens and follows discovery. Throws boost::system::system_error if the address cannot be had.
+  // Starts listening and following discovery. Throws boost::system::system_error if it cannot listen on the
+  // configured address.
   void Start();
-  // Follows the discovery of a new configuration; all else stays as it was at the start. The list is kept
-  // until the new address has told its own.
+  // Switches to the discovery address of a new configuration; every other setting keeps its value from the
+  // start. The current list stays in use until the new discovery has sent one.
   void Reload(const Config& config);
-  // Takes what still comes for a short while (nothing more of a listener that is shared), finishes all that
-  // it holds, then calls `finished`.
-  void Drain(std::function<void()> finished);
+  // Shuts down gracefully: accepts new connections for a short while (none on a listener that is shared with
+  // the next process), completes all pending requests, then calls `on_drained`.
+  void Drain(std::function<void()> on_drained);
 
   Tcp::endpoint address() const { return inbound_->address(); }
-  // The operators' door; its address is all zeros if none is configured.
+  // The address of the management endpoint; all zeros if none is configured.
   Tcp::endpoint management_address() const {
     return management_ == nullptr ? Tcp::endpoint() : management_->address();
   }
   const Counters& counters() const { return counters_; }
-  std::size_t requests_held() const { return calls_.size(); }
+  // Requests that have no answer yet or still have an attempt in flight.
+  std::size_t requests_held() const { return pending_requests_.size(); }
   std::size_t upstream_connections() const { return upstream_.open_connections(); }
 
  private:
   struct Attempt {
-    Upstream::AttemptId upstream = 0;
-    Micros sent = 0;
-    Micros expires = 0;
-    Micros timeout = 0;  // from the last byte of its request, if that is partial
-    bool out = true;
-    Result result = Result::kNeverSent;  // once it is no longer out
+    Upstream::AttemptId upstream_id = 0;
+    Micros sent_at = 0;
+    Micros expires_at = 0;
+    // While the request's body is still being received, the timeout starts when its last byte is written.
+    Micros timeout = 0;
+    bool in_flight = true;
+    Result result = Result::kNeverSent;  // valid once the attempt is no longer in flight
   };
-  // A request, from its arrival until it has its answer and its last attempt is resolved.
-  struct Call {
-    Message<true> request;
-    bool partial = false;         // its body is still coming in
-    bool spent = false;           // some of its body has been passed on and is not held
-    Inbound::SessionPtr session;  // null once it has been answered or its client has gone
+  // A request, from its arrival until it has been answered and its last attempt has ended.
+  struct PendingRequest {
+    Message<true> message;
+    bool body_pending = false;    // the body is still being received
+    bool body_consumed = false;   // part of the body was forwarded without being buffered: not replayable
+    Inbound::SessionPtr session;  // null once the request is answered or its client has disconnected
     std::size_t request_class = 0;
-    Micros deadline = 0;  // the final answer is owed before
+    Micros deadline = 0;  // the final answer must be sent before this time
     std::vector<Attempt> attempts;
     std::unique_ptr<asio::steady_timer> timer;
 
-    bool AnyOut() const;
+    bool HasAttemptInFlight() const;
   };
-  using Calls = std::unordered_map<std::string, Call>;
+  using PendingRequests = std::unordered_map<std::string, PendingRequest>;
 
-  // The module's actions.
+  // Actions requested by the Balancer (ActionSink).
   void Send(std::string_view request, const std::string& server, Micros timeout) override;
   void Cancel(std::string_view request, int attempt) override;
   void Refuse(std::string_view request, Micros retry_after) override;
@@ -90,64 +95,73 @@
   Micros Now() const;
   void OnList(ListUpdate::Kind kind, const EndpointList& list);
   void OnDiscoveryFailed(Micros within);
-  void OnDiscoveryHeard();
-  void OnListAging();
+  void OnDiscoverySignOfLife();
+  // Tells the Balancer when missed changes of the list, if any, take effect.
+  void ReportListAge();
   void OnRequest(const Inbound::SessionPtr& session, Message<true> request);
-  void OnSent(const std::string& id, int attempt);
-  void OnClientGone(const std::string& id);
-  void OnAnswer(const std::string& id, int attempt, UpstreamAnswer answer);
-  void Conclude(const std::string& id, int attempt, Result result, const LoadReport& load = {});
+  // The last byte of a request with a streamed body has been written: its deadline and timeout start now.
+  void OnRequestWritten(const std::string& id, int number);
+  void OnClientDisconnected(const std::string& id);
+  void OnUpstreamAnswer(const std::string& id, int attempt, UpstreamAnswer answer);
+  // Marks an attempt as ended and reports its outcome to the Balancer, once.
+  void FinishAttempt(const std::string& id, int attempt, Result result, const LoadReport& load = {});
   bool Ready() const;
-  std::string Figures();
-  ManagementEndpoint::Reply OnBan(const std::string& server, bool out);
-  void SetBan(const std::string& server, bool out);
-  void OnTurnedAway(const RequestHeader& header);
-  void Answer(Call& call, Counters::End end, HttpResponse response);
-  void PassOn(Call& call, UpstreamAnswer answer);
-  // Counts a final answer that is no success, for the log. `why` must be a constant.
-  void Note(const char* why);
-  void LogAnswers();
-  void Watch(const std::string& id, Call& call);
-  void OnDue(const std::string& id);
-  void EraseIfOver(const std::string& id);
-  // Whether somebody still waits for the answer; nothing is begun otherwise.
-  static bool Wanted(const Call& call);
-  static const char* WhyNotSent(const Call& call);
-  static Message<true> Forwarded(const Call& call, Micros left);
-  std::optional<Rejection> Check(const RequestHeader& request, int request_class) const;
-  Micros BudgetOf(const RequestHeader& request, std::size_t request_class) const;
+  std::string StatsJson();
+  // Handles an operator's call that takes a server down or brings it back.
+  ManagementEndpoint::Reply OnAdminDownCall(const std::string& server, bool down);
+  void SetAdminDown(const std::string& server, bool down);
+  // A valid request was refused because there was no memory left to read it.
+  void OnRefusedForMemory(const RequestHeader& header);
+  // Answers with a response of the sidecar's own.
+  void Respond(PendingRequest& pending, Counters::End end, HttpResponse response);
+  // Forwards a server's successful answer to the client.
+  void ForwardAnswer(PendingRequest& pending, UpstreamAnswer answer);
+  // Counts a request without a successful answer, for the log. `reason` must be a string constant.
+  void CountUnsuccessful(const char* reason);
+  void LogUnsuccessful();
+  // Sets the request's timer to its next deadline: the end of an attempt, or of the request itself.
+  void ArmRequestTimer(const std::string& id, PendingRequest& pending);
+  void OnRequestTimer(const std::string& id);
+  void EraseIfComplete(const std::string& id);
+  // Whether the client is still waiting for the answer; if not, no attempt is started.
+  static bool ClientIsWaiting(const PendingRequest& pending);
+  static const char* NotSentReason(const PendingRequest& pending);
+  static Message<true> BuildForwardedRequest(const PendingRequest& pending, Micros left);
+  std::optional<Rejection> Validate(const RequestHeader& request, int request_class) const;
+  // The time for the final answer: what the client asks for, but no more than its class's deadline.
+  Micros ComputeBudget(const RequestHeader& request, std::size_t request_class) const;
   int ClassIndex(std::string_view name) const;
   int TenantIndex(std::string_view name) const;
-  // Looks at what is shared with another process of this sidecar, again and again.
-  void LookLater();
-  void Look();
-  void WindDown();
-  void HurryCalls();
+  void ScheduleSharedDirPoll();
+  // Reads the state that the processes of this sidecar share, applies it, and schedules the next poll.
+  void PollSharedDir();
+  void ShutDownGracefully();
+  void ExpeditePendingRequests();
 
   asio::io_context& io_;
   Config config_;
-  SharedDir shared_;
+  SharedDir shared_dir_;
   const Micros clock_offset_;
-  Budget budget_;  // before all that takes of it
+  Budget budget_;  // declared before all members that reserve memory from it
   Counters counters_;
   std::unique_ptr<Balancer> balancer_;
   Upstream upstream_;
   Discovery discovery_;
   std::unique_ptr<Inbound> inbound_;
   std::unique_ptr<ManagementEndpoint> management_;
-  Calls calls_;
+  PendingRequests pending_requests_;             // by request id
   std::unordered_set<std::string> ever_listed_;  // servers
-  std::set<std::string> banned_;
+  std::set<std::string> admin_down_;             // servers
   asio::steady_timer drain_timer_;
-  asio::steady_timer look_timer_;
-  int looks_ = 0;
-  bool others_ = false;  // another process of this sidecar serves
+  asio::steady_timer shared_dir_timer_;
+  int shared_dir_polls_ = 0;
+  bool other_process_alive_ = false;  // another process of this sidecar is running
   asio::steady_timer log_timer_;
-  std::map<std::string_view, int> noted_;  // since the last line of the log, by reason
-  std::uint64_t logged_ = 0;               // requests taken until then
-  std::function<void()> finished_;
-  Micros drain_end_ = 0;  // 0 while it does not drain
-  bool hurried_ = false;
+  std::map<std::string_view, int> unsuccessful_;  // by reason, since the last log line
+  std::uint64_t taken_at_last_log_ = 0;           // requests accepted until the last log line
+  std::function<void()> on_drained_;
+  Micros drain_end_ = 0;  // 0 unless draining
+  bool expedited_ = false;
 };
 
 }  // namespace merlinrun::net
--- a/src/net/trace.hpp
+++ b/src/net/trace.hpp
@@ -1,5 +1,6 @@
-// Traces the life of each request on standard error when EDGE_TRACE=1: one line an event, with the monotonic
-// time in seconds, the request's id, and why it was sent, retried, refused, failed or closed.
+// Traces the events of each request on standard error when EDGE_TRACE=1. Each event is one line with the
+// monotonic time in seconds, the request's id, the event (taken, sent, answered, refused, failed ...) and its
+// details.
 #ifndef MERLINRUN_NET_TRACE_HPP_
 #define MERLINRUN_NET_TRACE_HPP_
 
@@ -24,7 +25,7 @@
 }
 
 // Writes one event of a request. `detail` is a function that returns the rest of the line; it is called only
-// while tracing, so that its text costs nothing otherwise.
+// if tracing is enabled, so that building the text costs nothing otherwise.
 template <typename Detail>
 void TraceRequest(std::string_view request, const char* event, Detail detail) {
   if (!TraceEnabled()) return;
@@ -34,6 +35,7 @@
                static_cast<int>(request.size()), request.data(), event, text.c_str());
 }
 
+// Writes an event without details.
 inline void TraceRequest(std::string_view request, const char* event) {
   TraceRequest(request, event, [] { return std::string(); });
 }
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -21,17 +21,27 @@
 
 using Clock = std::chrono::steady_clock;
 
-// Sweeps in the time that an idle connection is kept: few, as each wakes the process.
-constexpr int kSweeps = 4;
-
-// 1xx answers ahead of the one that counts; more are noise.
-constexpr int kMostInterim = 8;
-
-// The log says at most once in so long what went wrong, and nothing while nothing does.
-constexpr auto kLogEvery = std::chrono::seconds(1);
-constexpr const char* kTroubles[] = {"not listed",      "no room",     "dial refused",    "dial timed out",
-                                     "dial stale",      "request cut", "early answer",    "reset on fresh",
-                                     "reset on reused", "unreadable",  "answer broke off"};
+// Timeouts of idle connections and stalled bodies are checked this many times per timeout: few, as each
+// check wakes the process.
+constexpr int kChecksPerTimeout = 4;
+
+// An answer with more 1xx answers than this before it is invalid.
+constexpr int kMaxInterimAnswers = 8;
+
+// Failures are logged at most once in this interval, and not at all while there are none.
+constexpr auto kLogInterval = std::chrono::seconds(1);
+// In the order of FailureCause.
+constexpr const char* kFailureNames[] = {"not listed",
+                                         "no free connection",
+                                         "dial refused",
+                                         "dial timed out",
+                                         "list changed during dial",
+                                         "request cut off",
+                                         "early answer",
+                                         "reset on new connection",
+                                         "reset on reused connection",
+                                         "unreadable answer",
+                                         "answer cut off"};
 
 Micros Since(Clock::time_point start) {
   return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - start).count();
@@ -44,7 +54,7 @@
   return status && response[kDeclinedHeader] == "1";
 }
 
-// A server's 503 without the header proves nothing: it may have run.
+// A 503 or 504 without the header does not prove that the request was declined: it may have run.
 Result ResultOf(const ResponseHeader& response) {
   if (response.result() == http::status::ok) return Result::kSuccess;
   return Declined(response) ? Result::kRefused : Result::kError;
@@ -55,28 +65,32 @@
 struct Upstream::Server {
   ServerInfo info;
   Tcp::endpoint address;
-  std::uint64_t life = 0;           // changes with all that makes older connections useless
+  // Incremented when existing connections must not be used any more (new address, restart, brought back).
+  std::uint64_t incarnation = 0;
   std::vector<ConnectionPtr> idle;  // the most recently used last
+  bool admin_down = false;
 
-  bool out = false;  // by hand
-
-  bool Up() const { return info.state == ServerInfo::State::kHealthy && !out; }
+  bool Available() const { return info.state == ServerInfo::State::kHealthy && !admin_down; }
   void CloseIdle();
 };
 
-// Is the source of its answer's body too, where that is passed on in pieces.
+// One connection to a server. If an answer's body is streamed, the connection is also its BodySource.
 class Upstream::Connection : public BodySource, public std::enable_shared_from_this<Connection> {
  public:
-  struct Job {
+  struct ActiveAttempt {
     AttemptId id;
     Events events;
   };
 
   Connection(Upstream& pool, std::shared_ptr<Server> server)
-      : pool_(pool), server_(std::move(server)), life_(server_->life), socket_(pool.io_), timer_(pool.io_) {}
-
-  void Dial(Job job, Message<true> request) {
-    job_.emplace(std::move(job));
+      : pool_(pool),
+        server_(std::move(server)),
+        incarnation_(server_->incarnation),
+        socket_(pool.io_),
+        timer_(pool.io_) {}
+
+  void Dial(ActiveAttempt attempt, Message<true> request) {
+    attempt_.emplace(std::move(attempt));
     request_.emplace(std::move(request));
     ErrorCode error;
     socket_.open(server_->address.protocol(), error);
@@ -85,9 +99,9 @@
     if (pool_.limits_.dial_timeout > 0) {
       timer_.expires_after(std::chrono::microseconds(pool_.limits_.dial_timeout));
       timer_.async_wait([self = shared_from_this()](ErrorCode stopped) {
-        // The time may run out in the very turn of the loop in which the attempt is given up.
+        // The timer may expire in the same event loop iteration in which the attempt is cancelled.
         if (!stopped && self->dialing_ && !self->closed_)
-          self->Fail(Result::kUnreachable, Trouble::kSlowDial);
+          self->Fail(Result::kUnreachable, FailureCause::kDialTimeout);
       });
     }
     dialing_ = true;
@@ -95,34 +109,35 @@
                           [self = shared_from_this()](ErrorCode failed) { self->OnDialed(failed); });
   }
 
-  void Start(Job job, Message<true> request) {
-    job_.emplace(std::move(job));
+  void Reuse(ActiveAttempt attempt, Message<true> request) {
+    attempt_.emplace(std::move(attempt));
     request_.emplace(std::move(request));
-    idled_ = std::max<Micros>(Since(idle_since), 1);
-    Write();
+    idle_before_ = std::max<Micros>(Since(idle_since), 1);
+    WriteRequest();
   }
 
-  // Says nothing to the attempt's owner: for idle connections and attempts that are given up.
+  // Closes without calling `done`: for idle connections and cancelled attempts.
   void Close() {
     if (closed_) return;
     Abandon();
     timer_.cancel();
-    pool_.Forget(*this);
+    pool_.Remove(*this);
   }
 
-  // Closes without a word to the pool, which is going: what is still to be called back finds it closed.
+  // Closes without notifying the pool, which is being destroyed. Pending handlers find the connection closed.
   void Abandon() {
     closed_ = true;
-    job_.reset();
-    charge_ = {};
-    taken_ = nullptr;
+    attempt_.reset();
+    reservation_ = {};
+    on_chunk_ = nullptr;
     if (writer_ != nullptr) std::exchange(writer_, nullptr)->Stop();
     ErrorCode ignored;
     socket_.close(ignored);
   }
 
-  // Guards against writing to a connection whose end has come in but has not been handled: what is written
-  // there is reset, and may have run for all that one can know.
+  // Whether a request may be written to this connection. The socket is peeked at because the peer's close, or
+  // surplus data, may have arrived without having been handled yet. A request that is written after a close
+  // is reset, and it is unknown whether it ran.
   bool Usable() {
     if (closed_ || !Current()) return false;
     char byte = 0;
@@ -130,30 +145,30 @@
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
   }
 
-  bool Current() const { return server_->Up() && server_->life == life_; }
+  bool Current() const { return server_->Available() && server_->incarnation == incarnation_; }
   Server& server() { return *server_; }
   Clock::time_point idle_since;
 
-  // ---- What is still to come of the answer's body ----
+  // ---- BodySource: the part of the answer's body that is still to be read ----
 
   void ReadSome(asio::mutable_buffer into, Taken taken) override {
-    into_ = into;
-    taken_ = std::move(taken);
-    moved_at_ = Clock::now();
-    asio::post(pool_.io_, [self = shared_from_this()] { self->Supply(); });
+    chunk_buffer_ = into;
+    on_chunk_ = std::move(taken);
+    last_progress_ = Clock::now();
+    asio::post(pool_.io_, [self = shared_from_this()] { self->DeliverChunk(); });
   }
 
   void Stop() override {
-    if (relaying_) Close();
+    if (streaming_) Close();
   }
 
  private:
   void FailLater() {
-    pool_.Note(Trouble::kRefusedDial, server_->info.id);
+    pool_.CountFailure(FailureCause::kDialRefused, server_->info.id);
     FinishLater(Result::kUnreachable);
   }
 
-  // Not if the attempt is given up before.
+  // Finishes in the next event loop iteration, unless the attempt is cancelled before.
   void FinishLater(Result result) {
     asio::post(pool_.io_, [self = shared_from_this(), result] {
       if (!self->closed_) self->Finish(result, /*reuse=*/false);
@@ -164,27 +179,28 @@
     if (closed_) return;
     dialing_ = false;
     timer_.cancel();
-    // A look at the list after the wait: guards against sending to a server that has meanwhile been told to
-    // drain, is gone, or has restarted and is cold. Nothing is written, so it never ran.
-    if (error) return Fail(Result::kUnreachable, Trouble::kRefusedDial);
-    if (!Current()) return Fail(Result::kUnreachable, Trouble::kStaleDial);
-    if (job_->events.wanted && !job_->events.wanted()) return FinishLater(Result::kNeverSent);
+    // The server may have begun to drain, left the list or restarted (and so need a slow start) during the
+    // dial. Nothing has been written then, so the request has not run.
+    if (error) return Fail(Result::kUnreachable, FailureCause::kDialRefused);
+    if (!Current()) return Fail(Result::kUnreachable, FailureCause::kDialOutdated);
+    if (attempt_->events.confirm_send && !attempt_->events.confirm_send())
+      return FinishLater(Result::kNeverSent);
     Read();
-    Write();
+    WriteRequest();
   }
 
-  void Write() {
-    NextAnswer();
+  void WriteRequest() {
+    ResetParser();
     writing_ = true;
-    whole_ = false;
-    interim_ = 0;
-    answering_ = false;
-    moved_at_ = Clock::now();
+    request_complete_ = false;
+    interim_answers_ = 0;
+    answer_started_ = false;
+    last_progress_ = Clock::now();
     MessageWriter<true>::Events events;
     if (request_->rest != nullptr) {
-      events.drawn = [this] { std::exchange(job_->events.drawn, nullptr)(); };
-      events.progress = [this] { moved_at_ = Clock::now(); };
-      ExpectProgress();
+      events.drawn = [this] { std::exchange(attempt_->events.body_consumed, nullptr)(); };
+      events.progress = [this] { last_progress_ = Clock::now(); };
+      ScheduleStallCheck();
     }
     events.done = [this](ErrorCode error, bool source_failed) { OnWritten(error, source_failed); };
     writer_ =
@@ -197,128 +213,133 @@
   void OnWritten(ErrorCode error, bool source_failed) {
     writing_ = false;
     writer_.reset();
-    whole_ = !error;
-    // An unfinished request is one that no server begins.
+    request_complete_ = !error;
+    // Servers do not start a request that they have not received completely.
     if (error) {
-      if (!source_failed) CountLost();
-      return Fail(Result::kUnreachable, broken_.value_or(Trouble::kCutRequest));
+      if (!source_failed) CountLostRequest();
+      return Fail(Result::kUnreachable, abort_cause_.value_or(FailureCause::kRequestCutOff));
     }
     pool_.counters_.CountAttempt();
-    // It may give this attempt up, and with it all that is here.
-    if (const auto sent = std::exchange(job_->events.sent, nullptr)) sent();
-    if (!closed_ && broken_) FailReset();
+    // The callback may cancel this attempt, which closes the connection.
+    if (const auto written = std::exchange(attempt_->events.request_written, nullptr)) written();
+    if (!closed_ && abort_cause_) FailReset();
   }
 
-  // Looks now and then whether a body still moves. Guards against a server that stops taking a request or
-  // giving an answer half-way and keeps the connection.
-  void ExpectProgress() {
-    timer_.expires_after(std::chrono::microseconds(pool_.limits_.silence / kSweeps));
+  // Checks periodically whether a body still makes progress, so that the attempt ends if the server stops
+  // reading a request or writing an answer but keeps the connection open.
+  void ScheduleStallCheck() {
+    timer_.expires_after(std::chrono::microseconds(pool_.limits_.stall_timeout / kChecksPerTimeout));
     timer_.async_wait([self = shared_from_this()](ErrorCode stopped) {
-      if (stopped || self->closed_ || !(self->writing_ || self->relaying_)) return;
-      const bool servers_turn = self->writing_ ? !self->writer_->drawing() : self->taken_ != nullptr;
-      if (!servers_turn) self->moved_at_ = Clock::now();
-      if (Since(self->moved_at_) < self->pool_.limits_.silence) return self->ExpectProgress();
-      if (self->relaying_) return self->Break(asio::error::timed_out);
-      self->Fail(Result::kUnreachable, Trouble::kCutRequest);
+      if (stopped || self->closed_ || !(self->writing_ || self->streaming_)) return;
+      const bool servers_turn = self->writing_ ? !self->writer_->drawing() : self->on_chunk_ != nullptr;
+      if (!servers_turn) self->last_progress_ = Clock::now();
+      if (Since(self->last_progress_) < self->pool_.limits_.stall_timeout) return self->ScheduleStallCheck();
+      if (self->streaming_) return self->AbortStreaming(asio::error::timed_out);
+      self->Fail(Result::kUnreachable, FailureCause::kRequestCutOff);
     });
   }
 
-  // Stays posted while the connection lives, so that a peer's close is seen when it comes; not while an
-  // answer is passed on, which reads as much as is asked for.
+  // A read is always pending while the connection is open, so that the peer's close is noticed at once. While
+  // an answer is streamed, data is read only as its consumer asks for it.
   void Read() {
-    const std::size_t room = std::min(relaying_ ? kPiece : kReadSize, buffer_.max_size() - buffer_.size());
+    const std::size_t room = std::min(streaming_ ? kPiece : kReadSize, buffer_.max_size() - buffer_.size());
     if (room == 0)
-      return relaying_ ? Break(http::error::buffer_overflow) : Fail(Result::kReset, Trouble::kUnreadable);
+      return streaming_ ? AbortStreaming(http::error::buffer_overflow)
+                        : Fail(Result::kReset, FailureCause::kUnreadableAnswer);
     socket_.async_read_some(
         buffer_.prepare(room),
         [self = shared_from_this()](ErrorCode error, std::size_t n) { self->OnRead(error, n); });
   }
 
   void OnRead(ErrorCode error, std::size_t n) {
-    if (closed_ || broken_) return;
+    if (closed_ || abort_cause_) return;
     if (!error) buffer_.commit(n);
-    if (relaying_) return error ? OnRelayEnd(error) : Supply();
-    if (error) return OnEnd(error);
-    if (!job_) return Close();  // nobody asked
-    // Nothing that comes before the request has been written whole can be its answer.
-    if (writing_) return BreakOff(Trouble::kEarlyAnswer);
-    if (!std::exchange(answering_, true)) pool_.idle_limit_.Count(idled_, /*lost=*/false, Now());
-    // A spoilt answer is like none: the request may have run, and its answer is lost.
-    if (!Parse()) return Fail(Result::kReset, Trouble::kUnreadable);
+    if (streaming_) return error ? OnStreamEnd(error) : DeliverChunk();
+    if (error) return OnConnectionEnd(error);
+    if (!attempt_) return Close();  // data without a request
+    // Data that arrives before the request has been written completely cannot be its answer.
+    if (writing_) return AbortWrite(FailureCause::kEarlyAnswer);
+    if (!std::exchange(answer_started_, true)) pool_.idle_limit_.Count(idle_before_, /*lost=*/false, Now());
+    // An invalid answer counts as a lost one: the request may have run.
+    if (!Parse()) return Fail(Result::kReset, FailureCause::kUnreadableAnswer);
     if (parser_->is_done()) return Complete();
-    if (parser_->is_header_done() && held_.size() >= MostHeld()) return Relay();
+    if (parser_->is_header_done() && buffered_body_.size() >= MaxBuffered()) return BeginStreaming();
     Read();
   }
 
-  void NextAnswer() {
-    held_ = {};
+  void ResetParser() {
+    buffered_body_ = {};
     parser_.emplace();
-    parser_->eager(false);  // the header alone: it is checked before the body begins
+    parser_->eager(false);  // stops after the header, which is checked before the body is parsed
     parser_->header_limit(kMostHeader);
     parser_->body_limit(kMostBody);
   }
 
-  // How much of the answer is held before it is passed on. One that is known to be small is held whole: if it
-  // breaks off, its request may still be repeated. One that has no length is passed on before it is late.
-  std::size_t MostHeld() const {
+  // How much of the answer's body is buffered before it is forwarded. A body that is known to be small is
+  // buffered completely, so that its request can still be retried if the connection breaks. Of a body of
+  // unknown length only the first chunk is buffered, so that the answer is not delayed.
+  std::size_t MaxBuffered() const {
     const auto length = parser_->content_length();
     if (!length) return kPiece;
     return *length > kMostHeld ? 0 : static_cast<std::size_t>(*length);
   }
 
-  // False if it is no answer that the protocol knows.
+  // Parses what has been received. Returns false if the answer is invalid.
   bool Parse() {
-    std::array<char, kReadSize> piece;
+    std::array<char, kReadSize> chunk;
     while (buffer_.size() > 0 && !parser_->is_done()) {
       const bool had_header = parser_->is_header_done();
       const std::size_t before = buffer_.size();
-      const std::size_t room = had_header ? std::min(piece.size(), MostHeld() - held_.size()) : 0;
+      const std::size_t room = had_header ? std::min(chunk.size(), MaxBuffered() - buffered_body_.size()) : 0;
       ErrorCode error;
-      const std::size_t n = Feed(*parser_, buffer_, asio::buffer(piece.data(), room), error);
+      const std::size_t n = Feed(*parser_, buffer_, asio::buffer(chunk.data(), room), error);
       if (error) return false;
-      held_.append(piece.data(), n);
+      buffered_body_.append(chunk.data(), n);
       if (!had_header && parser_->is_header_done() && !TakeHeader()) return false;
-      if (parser_->is_header_done() && !parser_->is_done() && held_.size() >= MostHeld()) return true;
-      if (buffer_.size() == before) return true;  // more of it is needed
+      if (parser_->is_header_done() && !parser_->is_done() && buffered_body_.size() >= MaxBuffered())
+        return true;
+      if (buffer_.size() == before) return true;  // more data is needed
     }
     return true;
   }
 
-  // Guards against answers of no end: eager parsing forgets that a length was over the limit (Boost 1.74), so
-  // that an answer said to have 3 GB was read until memory ran out.
+  // Checks the header before the body is read. With eager parsing, Boost 1.74 ignores that the length is over
+  // the body limit: an answer with a Content-Length of 3 GB was read until memory ran out.
   bool TakeHeader() {
     if (!IsAcceptableResponse(parser_->get())) return false;
-    if (parser_->get().result_int() < 200) {  // 1xx: more comes
-      if (++interim_ > kMostInterim) return false;
-      NextAnswer();
+    if (parser_->get().result_int() < 200) {  // 1xx: another answer follows
+      if (++interim_answers_ > kMaxInterimAnswers) return false;
+      ResetParser();
       return true;
     }
-    const std::size_t most = MostHeld();
+    const std::size_t max_buffered = MaxBuffered();
     const auto length = parser_->content_length();
-    return charge_.Take(pool_.budget_, length && *length <= most ? most : most + kStreamCost);
+    return reservation_.Take(pool_.budget_,
+                             length && *length <= max_buffered ? max_buffered : max_buffered + kStreamCost);
   }
 
   // The peer closed or reset the connection.
-  void OnEnd(ErrorCode error) {
-    if (!job_) return Close();
+  void OnConnectionEnd(ErrorCode error) {
+    if (!attempt_) return Close();
     if (!writing_) {
-      if (error == asio::error::eof && EndsWithTheConnection()) return Complete();
+      if (error == asio::error::eof && EndsAtConnectionClose()) return Complete();
       return FailReset();
     }
-    BreakOff(Trouble::kCutRequest);
+    AbortWrite(FailureCause::kRequestCutOff);
   }
 
-  // The connection is of no use any more in the middle of a request. Whether its last byte went out shows
-  // when the write ends, and closing the socket ends it; one that waits for more of its body is not whole.
-  void BreakOff(Trouble why) {
-    if (writer_->drawing()) return Fail(Result::kUnreachable, why);
-    broken_ = why;
+  // The connection has become unusable while a request is being written. Closing the socket ends the write,
+  // and OnWritten then tells whether the request's last byte was sent. If the writer is waiting for more of
+  // the body, the request is incomplete for certain.
+  void AbortWrite(FailureCause cause) {
+    if (writer_->drawing()) return Fail(Result::kUnreachable, cause);
+    abort_cause_ = cause;
     ErrorCode ignored;
     socket_.close(ignored);
   }
 
-  // An answer without a length ends where its connection ends in good order.
-  bool EndsWithTheConnection() {
+  // An answer without a length is complete when its connection is closed in an orderly way.
+  bool EndsAtConnectionClose() {
     if (!parser_ || !parser_->is_header_done() || !parser_->need_eof()) return false;
     ErrorCode error;
     parser_->put_eof(error);
@@ -326,50 +347,50 @@
   }
 
   bool Reusable() const {
-    return whole_ && parser_->get().keep_alive() && !parser_->need_eof() && buffer_.size() == 0;
+    return request_complete_ && parser_->get().keep_alive() && !parser_->need_eof() && buffer_.size() == 0;
   }
 
   void Complete() { Finish(ResultOf(parser_->get()), Reusable()); }
 
-  // The answer is larger than what is held: from here on it is the client's, piece by piece. What a server
-  // says at length that is no success is of no use.
-  void Relay() {
+  // The answer is too large to be buffered: from here on it is streamed to the client chunk by chunk. A large
+  // answer that is no success is not forwarded, so its body is not read.
+  void BeginStreaming() {
     const Result result = ResultOf(parser_->get());
     if (result != Result::kSuccess) return Finish(result, /*reuse=*/false);
-    relaying_ = true;
-    UpstreamAnswer answer = Answer(result);
+    streaming_ = true;
+    UpstreamAnswer answer = TakeAnswer(result);
     answer.message.rest = shared_from_this();
     if (const auto length = parser_->content_length()) answer.message.length = *length;
-    Job job = std::move(*job_);
-    job_.reset();
-    pool_.attempts_.erase(job.id);
-    moved_at_ = Clock::now();
-    ExpectProgress();
-    job.events.done(std::move(answer));
+    ActiveAttempt attempt = std::move(*attempt_);
+    attempt_.reset();
+    pool_.attempts_.erase(attempt.id);
+    last_progress_ = Clock::now();
+    ScheduleStallCheck();
+    attempt.events.done(std::move(answer));
   }
 
-  void Supply() {
-    if (!taken_) return;
-    if (closed_) return std::exchange(taken_, nullptr)(asio::error::connection_aborted, 0, true);
+  void DeliverChunk() {
+    if (!on_chunk_) return;
+    if (closed_) return std::exchange(on_chunk_, nullptr)(asio::error::connection_aborted, 0, true);
     ErrorCode error;
-    const std::size_t n = Feed(*parser_, buffer_, into_, error);
-    if (error) return Break(error);
+    const std::size_t n = Feed(*parser_, buffer_, chunk_buffer_, error);
+    if (error) return AbortStreaming(error);
     if (n == 0 && !parser_->is_done()) return Read();
-    const bool over = parser_->is_done();
-    const Taken taken = std::exchange(taken_, nullptr);
-    if (over) EndRelay();
-    taken({}, n, over);
+    const bool last = parser_->is_done();
+    const Taken taken = std::exchange(on_chunk_, nullptr);
+    if (last) EndStreaming();
+    taken({}, n, last);
   }
 
-  void OnRelayEnd(ErrorCode error) {
-    if (error != asio::error::eof || !EndsWithTheConnection()) return Break(error);
-    Supply();
+  void OnStreamEnd(ErrorCode error) {
+    if (error != asio::error::eof || !EndsAtConnectionClose()) return AbortStreaming(error);
+    DeliverChunk();
   }
 
-  void EndRelay() {
+  void EndStreaming() {
     const auto self = shared_from_this();
     const bool reuse = Reusable();
-    relaying_ = false;
+    streaming_ = false;
     timer_.cancel();
     parser_.reset();
     if (!reuse) return Close();
@@ -377,92 +398,93 @@
     pool_.Release(self);
   }
 
-  void Break(ErrorCode error) {
+  void AbortStreaming(ErrorCode error) {
     const auto self = shared_from_this();
-    pool_.Note(Trouble::kBrokenAnswer, server_->info.id);
-    const Taken taken = std::exchange(taken_, nullptr);
+    pool_.CountFailure(FailureCause::kAnswerCutOff, server_->info.id);
+    const Taken taken = std::exchange(on_chunk_, nullptr);
     Close();
     if (taken) taken(error, 0, true);
   }
 
-  void CountLost() {
-    if (!answering_) pool_.idle_limit_.Count(idled_, /*lost=*/true, Now());
+  // Tells the idle limit that a request was lost without any of its answer.
+  void CountLostRequest() {
+    if (!answer_started_) pool_.idle_limit_.Count(idle_before_, /*lost=*/true, Now());
   }
 
   void FailReset() {
-    CountLost();
-    Fail(Result::kReset, idled_ > 0 ? Trouble::kResetReused : Trouble::kResetFresh);
+    CountLostRequest();
+    Fail(Result::kReset, idle_before_ > 0 ? FailureCause::kResetReused : FailureCause::kResetNew);
   }
 
-  void Fail(Result result, Trouble trouble) {
-    pool_.Note(trouble, server_->info.id);
+  void Fail(Result result, FailureCause cause) {
+    pool_.CountFailure(cause, server_->info.id);
     parser_.reset();
     Finish(result, /*reuse=*/false);
   }
 
-  // What has come of the answer, if any.
-  UpstreamAnswer Answer(Result result) {
+  // Moves out what has been received of the answer, if anything.
+  UpstreamAnswer TakeAnswer(Result result) {
     UpstreamAnswer answer;
     answer.result = result;
-    answer.charge = std::move(charge_);
+    answer.reservation = std::move(reservation_);
     if (!parser_ || !parser_->is_header_done()) return answer;
     answer.message.head = parser_->get().base();
-    answer.message.held = std::make_shared<const std::string>(std::exchange(held_, {}));
+    answer.message.held = std::make_shared<const std::string>(std::exchange(buffered_body_, {}));
     answer.load = ParseLoadHeader(ToStringView(answer.message.head[kLoadHeader]));
     return answer;
   }
 
   void Finish(Result result, bool reuse) {
     const auto self = shared_from_this();
-    Job job = std::move(*job_);
-    UpstreamAnswer answer = Answer(result);
-    job_.reset();
+    ActiveAttempt attempt = std::move(*attempt_);
+    UpstreamAnswer answer = TakeAnswer(result);
+    attempt_.reset();
     parser_.reset();
-    pool_.attempts_.erase(job.id);
+    pool_.attempts_.erase(attempt.id);
     if (reuse) {
       Read();
       pool_.Release(self);
     } else {
       Close();
     }
-    job.events.done(std::move(answer));
+    attempt.events.done(std::move(answer));
   }
 
   Upstream& pool_;
   const std::shared_ptr<Server> server_;
-  const std::uint64_t life_;
+  const std::uint64_t incarnation_;
   Tcp::socket socket_;
-  asio::steady_timer timer_;  // for the dial, then for the progress of what is passed on in pieces
+  asio::steady_timer timer_;  // for the dial, then for the stall check of a streamed body
   beast::flat_buffer buffer_{kMostUnparsed};
   std::optional<http::response_parser<http::buffer_body>> parser_;
-  std::string held_;  // of the answer's body
-  std::optional<Job> job_;
-  std::optional<Message<true>> request_;  // until it is being written
+  std::string buffered_body_;  // the buffered part of the answer's body
+  std::optional<ActiveAttempt> attempt_;
+  std::optional<Message<true>> request_;  // until the write begins
   std::shared_ptr<MessageWriter<true>> writer_;
-  asio::mutable_buffer into_;  // where the next piece of the answer is wanted ...
-  Taken taken_;                // ... and by whom; null if nobody waits for it
-  Clock::time_point moved_at_;
-  Charge charge_;           // for the answer that is being read
-  Micros idled_ = 0;        // how long it had stood idle before this request; 0 on a fresh one
-  bool answering_ = false;  // some of the answer has come
-  bool relaying_ = false;   // the answer is being passed on in pieces
-  int interim_ = 0;         // 1xx answers to this request
+  asio::mutable_buffer chunk_buffer_;  // receives the next chunk of a streamed answer
+  Taken on_chunk_;                     // called with that chunk; null if none has been requested
+  Clock::time_point last_progress_;
+  Charge reservation_;           // memory for the answer that is being read
+  Micros idle_before_ = 0;       // how long the connection was idle before this request; 0 if it is new
+  bool answer_started_ = false;  // part of the answer has been received
+  bool streaming_ = false;       // the answer's body is being streamed
+  int interim_answers_ = 0;      // 1xx answers to this request
   bool dialing_ = false;
   bool writing_ = false;
-  bool whole_ = false;             // the request's last byte has been written
-  std::optional<Trouble> broken_;  // what ended the connection while it was being written
+  bool request_complete_ = false;            // the request's last byte has been written
+  std::optional<FailureCause> abort_cause_;  // why the connection ended while the request was being written
   bool closed_ = false;
 };
 
 Upstream::Upstream(asio::io_context& io, Limits limits, Budget& budget, Counters& counters)
-    : io_(io), limits_(limits), budget_(budget), counters_(counters), sweep_(io), log_(io) {}
+    : io_(io), limits_(limits), budget_(budget), counters_(counters), sweep_timer_(io), log_timer_(io) {}
 
 Upstream::~Upstream() {
   for (const auto& [id, connection] : attempts_)
     if (connection != nullptr) connection->Abandon();
   for (const auto& [id, server] : servers_) {
     for (const ConnectionPtr& connection : server->idle) connection->Abandon();
-    server->idle.clear();  // the two hold each other
+    server->idle.clear();  // breaks the reference cycle between a server and its connections
   }
 }
 
@@ -471,27 +493,27 @@
 }
 
 void Upstream::Update(Server& server, const Endpoint& endpoint) const {
-  server.out = out_.count(endpoint.info.id) > 0;
+  server.admin_down = admin_down_.count(endpoint.info.id) > 0;
   const bool same = server.address == endpoint.address && server.info.started == endpoint.info.started;
   server.info = endpoint.info;
   if (endpoint.info.state != ServerInfo::State::kGone) server.address = endpoint.address;
-  if (same && server.Up()) return;
-  if (!same) ++server.life;
+  if (same && server.Available()) return;
+  if (!same) ++server.incarnation;
   server.CloseIdle();
 }
 
-// Back, it is another process: what was dialled before is of no use.
-void Upstream::SetOut(const std::string& id, bool out) {
-  if (out == (out_.count(id) > 0)) return;
-  if (out) {
-    out_.insert(id);
+// A server that is brought back counts as restarted, so connections from before are not used again.
+void Upstream::SetAdminDown(const std::string& id, bool down) {
+  if (down == (admin_down_.count(id) > 0)) return;
+  if (down) {
+    admin_down_.insert(id);
   } else {
-    out_.erase(id);
+    admin_down_.erase(id);
   }
   const auto it = servers_.find(id);
   if (it == servers_.end()) return;
-  it->second->out = out;
-  ++it->second->life;
+  it->second->admin_down = down;
+  ++it->second->incarnation;
   it->second->CloseIdle();
 }
 
@@ -507,7 +529,7 @@
     before.erase(endpoint.info.id);
     if (endpoint.info.state == ServerInfo::State::kGone) servers_.erase(endpoint.info.id);
   }
-  for (auto& [id, server] : before) {  // not in the whole list: gone
+  for (auto& [id, server] : before) {  // not in the full list: gone
     Endpoint gone{server->info, server->address};
     gone.info.state = ServerInfo::State::kGone;
     Update(*server, gone);
@@ -515,10 +537,10 @@
 }
 
 Upstream::AttemptId Upstream::Send(const std::string& id, Message<true> request, Events events) {
-  ++sent_;
+  ++attempts_started_;
   const auto found = servers_.find(id);
-  if (found == servers_.end() || !found->second->Up()) {
-    Note(Trouble::kNotListed, id);
+  if (found == servers_.end() || !found->second->Available()) {
+    CountFailure(FailureCause::kNotListed, id);
     return FailLater(std::move(events.done));
   }
   const std::shared_ptr<Server> server = found->second;
@@ -526,22 +548,23 @@
   const AttemptId attempt = ++last_attempt_;
   if (connection != nullptr) {
     attempts_[attempt] = connection;
-    connection->Start({attempt, std::move(events)}, std::move(request));
+    connection->Reuse({attempt, std::move(events)}, std::move(request));
     return attempt;
   }
-  if (open_ >= std::min(limits_.kept, limits_.connections) && !MakeRoom() && open_ >= limits_.connections) {
-    Note(Trouble::kNoRoom, id);
+  if (open_connections_ >= std::min(limits_.idle_eviction_threshold, limits_.max_connections) &&
+      !EvictIdle() && open_connections_ >= limits_.max_connections) {
+    CountFailure(FailureCause::kConnectionLimit, id);
     return FailLater(std::move(events.done));
   }
   connection = std::make_shared<Connection>(*this, server);
-  ++open_;
-  ++opened_;
+  ++open_connections_;
+  ++connections_opened_;
   attempts_[attempt] = connection;
   connection->Dial({attempt, std::move(events)}, std::move(request));
   return attempt;
 }
 
-// The module must not hear of an outcome while it is still saying what to send.
+// `done` is posted: the Balancer must not receive an outcome while it is still inside its Send action.
 Upstream::AttemptId Upstream::FailLater(Done done) {
   const AttemptId attempt = ++last_attempt_;
   attempts_[attempt] = nullptr;
@@ -551,7 +574,7 @@
   return attempt;
 }
 
-void Upstream::GiveUp(AttemptId attempt) {
+void Upstream::Cancel(AttemptId attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
   const ConnectionPtr connection = it->second;
@@ -559,15 +582,15 @@
   if (connection != nullptr) connection->Close();
 }
 
-// The one used last of those that have rested. Guards against a second copy or noise that a server sends
-// right behind an answer: nothing in HTTP ties an answer to its request but the order on its connection, so
-// what comes after the next request was written would pass for that one's answer.
+// Returns the most recently used connection that has been idle for the reuse delay. Without that delay a
+// duplicate or surplus data that a server sends right after an answer could be taken for the next answer:
+// HTTP/1.1 matches answers to requests only by their order on the connection.
 Upstream::ConnectionPtr Upstream::TakeIdle(Server& server) {
-  const auto rested = Clock::now() - std::chrono::microseconds(limits_.rest);
+  const auto reusable_if_idle_since = Clock::now() - std::chrono::microseconds(limits_.reuse_delay);
   auto it = server.idle.end();
   while (it != server.idle.begin()) {
     ConnectionPtr connection = *--it;
-    if (connection->idle_since > rested) continue;
+    if (connection->idle_since > reusable_if_idle_since) continue;
     it = server.idle.erase(it);
     if (idle_limit_.Allows(Since(connection->idle_since), Now()) && connection->Usable()) return connection;
     connection->Close();
@@ -575,87 +598,92 @@
   return nullptr;
 }
 
-// Closes the connection that has been idle longest. False if all are at work.
-bool Upstream::MakeRoom() {
+// Closes the connection that has been idle longest. Returns false if none is idle.
+bool Upstream::EvictIdle() {
   Server* oldest = nullptr;
   for (auto& [id, server] : servers_)
     if (!server->idle.empty() &&
         (oldest == nullptr || server->idle.front()->idle_since < oldest->idle.front()->idle_since))
       oldest = server.get();
   if (oldest == nullptr) return false;
-  const ConnectionPtr kept = oldest->idle.front();
-  kept->Close();
+  const ConnectionPtr connection = oldest->idle.front();
+  connection->Close();
   return true;
 }
 
-void Upstream::KeepAtMost(std::size_t connections) {
-  limits_.kept = connections;
-  while (open_ > limits_.kept && MakeRoom()) continue;
+void Upstream::SetIdleEvictionThreshold(std::size_t connections) {
+  limits_.idle_eviction_threshold = connections;
+  while (open_connections_ > limits_.idle_eviction_threshold && EvictIdle()) continue;
 }
 
+// Returns a connection to the idle ones of its server.
 void Upstream::Release(const ConnectionPtr& connection) {
   if (!connection->Current()) return connection->Close();
   connection->idle_since = Clock::now();
   connection->server().idle.push_back(connection);
-  SweepLater();
+  ScheduleSweep();
 }
 
-void Upstream::Forget(const Connection& connection) {
-  --open_;
+// Removes a closed connection from the pool.
+void Upstream::Remove(const Connection& connection) {
+  --open_connections_;
   auto& idle = const_cast<Connection&>(connection).server().idle;
   const auto same = [&](const ConnectionPtr& other) { return other.get() == &connection; };
   idle.erase(std::remove_if(idle.begin(), idle.end(), same), idle.end());
 }
 
-void Upstream::SweepLater() {
-  if (limits_.keep_idle <= 0 || std::exchange(sweeping_, true)) return;
-  sweep_.expires_after(std::chrono::microseconds(limits_.keep_idle / kSweeps));
-  sweep_.async_wait([this](ErrorCode error) {
+void Upstream::ScheduleSweep() {
+  if (limits_.idle_timeout <= 0 || std::exchange(sweep_scheduled_, true)) return;
+  sweep_timer_.expires_after(std::chrono::microseconds(limits_.idle_timeout / kChecksPerTimeout));
+  sweep_timer_.async_wait([this](ErrorCode error) {
     if (error) return;
-    sweeping_ = false;
+    sweep_scheduled_ = false;
     Sweep();
   });
 }
 
 void Upstream::Sweep() {
   const auto now = Clock::now();
-  bool any = false;
+  bool any_idle = false;
   for (auto& [id, server] : servers_) {
-    const std::vector<ConnectionPtr> idle = server->idle;  // Close takes them out of the original
+    const std::vector<ConnectionPtr> idle = server->idle;  // a copy, because Close erases from the original
     for (const ConnectionPtr& connection : idle)
-      if (now - connection->idle_since >= std::chrono::microseconds(limits_.keep_idle)) connection->Close();
-    any = any || !server->idle.empty();
+      if (now - connection->idle_since >= std::chrono::microseconds(limits_.idle_timeout))
+        connection->Close();
+    any_idle = any_idle || !server->idle.empty();
   }
-  if (any) SweepLater();
+  if (any_idle) ScheduleSweep();
 }
 
-void Upstream::Note(Trouble trouble, const std::string& server) {
-  if (troubled_.empty()) {
-    log_.expires_after(kLogEvery);
-    log_.async_wait([this](ErrorCode error) {
-      if (!error) LogTroubles();
+void Upstream::CountFailure(FailureCause cause, const std::string& server) {
+  if (failures_by_server_.empty()) {
+    log_timer_.expires_after(kLogInterval);
+    log_timer_.async_wait([this](ErrorCode error) {
+      if (!error) LogFailures();
     });
   }
-  ++troubles_[static_cast<std::size_t>(trouble)];
-  ++troubled_[server];
+  ++failures_by_cause_[static_cast<std::size_t>(cause)];
+  ++failures_by_server_[server];
 }
 
-// One line for all that went wrong since the first trouble: which kinds, where most of it, and how much of
-// the traffic it was.
-void Upstream::LogTroubles() {
-  std::string kinds;
-  for (std::size_t i = 0; i < troubles_.size(); ++i)
-    if (troubles_[i] > 0)
-      kinds += (kinds.empty() ? "" : ", ") + std::string(kTroubles[i]) + " " + std::to_string(troubles_[i]);
-  const auto worst = std::max_element(troubled_.begin(), troubled_.end(),
+// Logs one line about the failures since the last one: their causes, the server with most of them, and the
+// number of attempts for comparison.
+void Upstream::LogFailures() {
+  std::string causes;
+  for (std::size_t i = 0; i < failures_by_cause_.size(); ++i)
+    if (failures_by_cause_[i] > 0)
+      causes += (causes.empty() ? "" : ", ") + std::string(kFailureNames[i]) + " " +
+                std::to_string(failures_by_cause_[i]);
+  const auto worst = std::max_element(failures_by_server_.begin(), failures_by_server_.end(),
                                       [](const auto& a, const auto& b) { return a.second < b.second; });
   std::fprintf(stderr,
                "upstream: attempts %d, connections opened %d, open %zu; failed: %s; most at %.64s: %d of %zu "
                "servers\n",
-               sent_, opened_, open_, kinds.c_str(), worst->first.c_str(), worst->second, troubled_.size());
-  troubles_ = {};
-  troubled_.clear();
-  sent_ = opened_ = 0;
+               attempts_started_, connections_opened_, open_connections_, causes.c_str(),
+               worst->first.c_str(), worst->second, failures_by_server_.size());
+  failures_by_cause_ = {};
+  failures_by_server_.clear();
+  attempts_started_ = connections_opened_ = 0;
 }
 
 }  // namespace merlinrun::net
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -1,5 +1,5 @@
-// Connections to the servers: one request on each at a time, the most recently used first. Carries out an
-// attempt exactly once and says what became of it; never sends one again by itself.
+// Connection pool to the servers. Each connection carries one request at a time, and the most recently used
+// idle connection is reused first. Performs each attempt exactly once and reports its result; never retries.
 #ifndef MERLINRUN_NET_UPSTREAM_HPP_
 #define MERLINRUN_NET_UPSTREAM_HPP_
 
@@ -22,11 +22,12 @@
 
 namespace merlinrun::net {
 
+// The result of one attempt, with the server's answer if there is one.
 struct UpstreamAnswer {
   Result result = Result::kUnreachable;
-  Message<false> message;  // of interest after a success; what is not held of it is still to come
-  Charge charge;           // for its body
-  LoadReport load;         // what the server said of itself, whatever the result
+  Message<false> message;  // relevant after a success; the part that is not buffered is still to be read
+  Charge reservation;      // memory reserved for the answer's body
+  LoadReport load;         // the server's load report, present with any result
 };
 
 class Upstream {
@@ -35,24 +36,26 @@
   using Done = std::function<void(UpstreamAnswer)>;
   struct Events {
     Done done;
-    // Asked when a connection that had to be dialled has come up: if false, nothing is written to it, and the
-    // attempt is done as one that was never sent.
-    std::function<bool()> wanted = nullptr;
-    // Of a request that is not held whole: what follows is being asked for, so that it cannot be sent again;
-    // and its last byte has been written.
-    std::function<void()> drawn = nullptr;
-    std::function<void()> sent = nullptr;
+    // Called when a newly dialled connection is established. If it returns false, nothing is written and the
+    // attempt ends with Result::kNeverSent.
+    std::function<bool()> confirm_send = nullptr;
+    // For a request whose body is not fully buffered: called when its unbuffered part is first read, after
+    // which it cannot be sent again ...
+    std::function<void()> body_consumed = nullptr;
+    // ... and when its last byte has been written.
+    std::function<void()> request_written = nullptr;
   };
   struct Limits {
-    Micros keep_idle = 0;     // an idle connection is closed after so long; 0 = only when its peer does
+    Micros idle_timeout = 0;  // idle connections are closed after this time; 0 = only when the peer closes
     Micros dial_timeout = 0;  // 0 = as long as the attempt lasts
-    // An idle connection is used again after so long: what its server sent beyond its last answer has come by
-    // then and shows that it is of no further use.
-    Micros rest = 25'000;
-    Micros silence =
-        4'000'000;  // a body that has not moved for so long through the server's fault is given up
-    std::size_t connections = 512;
-    std::size_t kept = SIZE_MAX;  // beyond so many, idle ones make room for new ones
+    // An idle connection is reused only after this time. By then any surplus data that the server sent after
+    // its last answer has arrived, and shows that the connection must not be reused.
+    Micros reuse_delay = 25'000;
+    // A body transfer that the server has not advanced for this time is aborted.
+    Micros stall_timeout = 4'000'000;
+    std::size_t max_connections = 512;
+    // With this many connections open, an idle one is closed before a new one is opened.
+    std::size_t idle_eviction_threshold = SIZE_MAX;
   };
 
   Upstream(asio::io_context& io, Limits limits, Budget& budget, Counters& counters);
@@ -60,41 +63,41 @@
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
-  // Takes a list. A server that drains, is gone, has moved or has restarted loses its idle connections; what
-  // is under way on the others finishes.
+  // Applies a list of servers. The idle connections of a server that is draining, gone, moved or restarted
+  // are closed; requests in progress on its other connections are completed.
   void Apply(const EndpointList& list);
 
-  // Takes a server out by hand, as if it drained, whatever the list says, or puts it back.
-  void SetOut(const std::string& server, bool out);
+  // Takes a server administratively down, as if it were draining, whatever the list says, or brings it back.
+  void SetAdminDown(const std::string& server, bool down);
 
-  // Starts an attempt. `done` is called once, from the loop and never from in here, unless it is given up. An
-  // answer that is passed on in pieces is done when it begins.
+  // Starts an attempt. `done` is called once, from the event loop and never from within Send, unless the
+  // attempt is cancelled. For a streamed answer, `done` is called when the answer begins.
   AttemptId Send(const std::string& server, Message<true> request, Events events);
-  // Ends an attempt by closing its connection; its `done` is not called any more.
-  void GiveUp(AttemptId attempt);
-
-  // From now on idle connections are kept only where there are no more than so many in all.
-  void KeepAtMost(std::size_t connections);
-
-  // Why attempts ended without an answer that could be read; counted for the log.
-  enum class Trouble {
-    kNotListed,     // the server drains or is gone
-    kNoRoom,        // every connection that may be open is at work
-    kRefusedDial,   // the server's machine said no
-    kSlowDial,      // nothing came within the dial timeout
-    kStaleDial,     // the list changed while it was dialling
-    kCutRequest,    // the connection broke before the request's last byte
-    kEarlyAnswer,   // something came before the request's last byte
-    kResetFresh,    // it broke after the request, the first on its connection
-    kResetReused,   // the same on a connection that had served before
-    kUnreadable,    // what came was no answer that the protocol knows
-    kBrokenAnswer,  // it broke while it was passed on
+  // Aborts an attempt by closing its connection; its `done` is not called any more.
+  void Cancel(AttemptId attempt);
+
+  // Changes Limits::idle_eviction_threshold, and closes idle connections that are over it.
+  void SetIdleEvictionThreshold(std::size_t connections);
+
+  // Why an attempt ended without a valid answer; counted for the log.
+  enum class FailureCause {
+    kNotListed,         // the server is draining, gone or administratively down
+    kConnectionLimit,   // all allowed connections are busy
+    kDialRefused,       // the connection was refused or could not be opened
+    kDialTimeout,       // the connection was not established within the dial timeout
+    kDialOutdated,      // the list changed while dialling
+    kRequestCutOff,     // the connection failed before the request's last byte
+    kEarlyAnswer,       // data arrived before the request's last byte was written
+    kResetNew,          // connection lost after the first request on it
+    kResetReused,       // connection lost after a request on a reused connection
+    kUnreadableAnswer,  // the answer is not valid in this protocol
+    kAnswerCutOff,      // connection lost while the answer was being streamed
     kCount
   };
 
   bool any_server() const { return !servers_.empty(); }
-  std::size_t known_servers() const { return servers_.size(); }  // listed ones, those that drain included
-  std::size_t open_connections() const { return open_; }
+  std::size_t known_servers() const { return servers_.size(); }  // listed ones, including draining ones
+  std::size_t open_connections() const { return open_connections_; }
 
  private:
   class Connection;
@@ -103,32 +106,34 @@
 
   void Update(Server& server, const Endpoint& endpoint) const;
   ConnectionPtr TakeIdle(Server& server);
-  bool MakeRoom();
+  bool EvictIdle();
   AttemptId FailLater(Done done);
   void Release(const ConnectionPtr& connection);
-  void Forget(const Connection& connection);
-  void SweepLater();
+  void Remove(const Connection& connection);
+  void ScheduleSweep();
   void Sweep();
-  void Note(Trouble trouble, const std::string& server);
-  void LogTroubles();
+  void CountFailure(FailureCause cause, const std::string& server);
+  void LogFailures();
 
   asio::io_context& io_;
   Limits limits_;
   Budget& budget_;
   Counters& counters_;
   IdleLimit idle_limit_;
-  asio::steady_timer sweep_;
-  bool sweeping_ = false;
-  std::size_t open_ = 0;
+  asio::steady_timer sweep_timer_;
+  bool sweep_scheduled_ = false;
+  std::size_t open_connections_ = 0;
   AttemptId last_attempt_ = 0;
   std::unordered_map<std::string, std::shared_ptr<Server>> servers_;
-  std::set<std::string> out_;  // servers out by hand
-  asio::steady_timer log_;
-  std::array<int, static_cast<std::size_t>(Trouble::kCount)> troubles_{};  // since the last line of the log
-  std::unordered_map<std::string, int> troubled_;                          // the same by server
-  int sent_ = 0;                                                           // attempts since then
-  int opened_ = 0;                                                         // connections since then
-  std::unordered_map<AttemptId, ConnectionPtr> attempts_;  // null: it has failed, which is about to be told
+  std::set<std::string> admin_down_;  // servers
+  asio::steady_timer log_timer_;
+  // Counts since the last log line.
+  std::array<int, static_cast<std::size_t>(FailureCause::kCount)> failures_by_cause_{};
+  std::unordered_map<std::string, int> failures_by_server_;
+  int attempts_started_ = 0;
+  int connections_opened_ = 0;
+  // Null for an attempt that has failed already and whose `done` is about to be called.
+  std::unordered_map<AttemptId, ConnectionPtr> attempts_;
 };
 
 }  // namespace merlinrun::net
