--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -1,5 +1,5 @@
-// What the tests of the sidecar share: a loop with a deadline, scripted servers and clients on loopback
-// addresses with ports that the kernel chooses, and a configuration.
+// Helpers for the tests of the sidecar: running the event loop with a timeout, scripted servers and clients
+// on loopback addresses with ports that the kernel chooses, and a configuration.
 #ifndef MERLINRUN_TESTS_NET_LOOPBACK_HPP_
 #define MERLINRUN_TESTS_NET_LOOPBACK_HPP_
 
@@ -23,10 +23,11 @@
 
 using namespace std::chrono_literals;
 
-// Runs the loop until `done` holds; false if it does not within a time that is ample on a busy machine.
+// Runs the event loop until `done` returns true. Returns false on a timeout, whose default is long enough for
+// a busy machine.
 inline bool RunUntil(asio::io_context& io, const std::function<bool()>& done,
-                     std::chrono::milliseconds most = 20s) {
-  const auto end = std::chrono::steady_clock::now() + most;
+                     std::chrono::milliseconds timeout = 20s) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   io.restart();
   while (!done()) {
     if (std::chrono::steady_clock::now() > end) return false;
@@ -36,45 +37,50 @@
   return true;
 }
 
+// Runs the event loop for this long.
 inline void RunFor(asio::io_context& io, std::chrono::milliseconds time) {
   const auto end = std::chrono::steady_clock::now() + time;
   RunUntil(io, [&] { return std::chrono::steady_clock::now() >= end; });
 }
 
-// Whether `done` holds when this much time has passed, decided in the loop itself: what was due before has
-// run by then, late or not, and a few more turns are for what that has posted. So the verdict is one of the
-// order in which things are due, and not of how fast the machine is.
-class InTime {
+// Checks whether `done` returns true when this much time has passed. The check runs in the event loop:
+// handlers of timers that expire earlier have run by then, even if they are late, and so have the handlers
+// that those posted, for which a few more iterations are made. So the result depends on the order of the
+// timers and not on the speed of the machine.
+class DeadlineCheck {
  public:
-  InTime(asio::io_context& io, std::chrono::milliseconds time, std::function<bool()> done)
+  DeadlineCheck(asio::io_context& io, std::chrono::milliseconds time, std::function<bool()> done)
       : io_(io), state_(std::make_shared<State>(io, std::move(done))) {
     state_->timer.expires_after(time);
     state_->timer.async_wait([state = state_](ErrorCode error) {
-      if (!error) Turn(state, kTurns);
+      if (!error) CheckAfter(state, kExtraIterations);
     });
   }
-  InTime(const InTime&) = delete;
-  InTime& operator=(const InTime&) = delete;
+  DeadlineCheck(const DeadlineCheck&) = delete;
+  DeadlineCheck& operator=(const DeadlineCheck&) = delete;
 
-  // Waits for the time to pass.
-  bool Held() const {
-    return RunUntil(io_, [this] { return state_->over; }) && state_->held;
+  // Waits for the time to pass and returns the result.
+  bool Met() const {
+    return RunUntil(io_, [this] { return state_->checked; }) && state_->met;
   }
 
  private:
-  static constexpr int kTurns = 16;
+  static constexpr int kExtraIterations = 16;
 
   struct State {
     State(asio::io_context& io, std::function<bool()> condition) : timer(io), done(std::move(condition)) {}
     asio::steady_timer timer;
     std::function<bool()> done;
-    bool over = false;
-    bool held = false;
+    bool checked = false;
+    bool met = false;
   };
-  static void Turn(const std::shared_ptr<State>& state, int more) {
-    if (more > 0) return asio::post(state->timer.get_executor(), [state, more] { Turn(state, more - 1); });
-    state->held = state->done();
-    state->over = true;
+  // Checks `done` after `remaining` more iterations of the event loop.
+  static void CheckAfter(const std::shared_ptr<State>& state, int remaining) {
+    if (remaining > 0)
+      return asio::post(state->timer.get_executor(),
+                        [state, remaining] { CheckAfter(state, remaining - 1); });
+    state->met = state->done();
+    state->checked = true;
   }
 
   asio::io_context& io_;
@@ -87,7 +93,7 @@
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
-// A peer's side of a connection: keeps what it has read, writes what it is told.
+// The test's side of a connection: collects all data that it receives, and sends scripted data.
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
   explicit Peer(Tcp::socket connected) : socket(std::move(connected)) {}
@@ -107,11 +113,11 @@
     ErrorCode ignored;
     asio::write(socket, asio::buffer(text), ignored);
   }
-  // For more than the kernel buffers: the loop has to run meanwhile.
+  // Writes asynchronously, for texts that exceed the kernel's buffers: the event loop has to run meanwhile.
   void WriteLater(const std::string& text, bool close = false) {
-    const auto kept = std::make_shared<const std::string>(text);
-    asio::async_write(socket, asio::buffer(*kept),
-                      [self = shared_from_this(), kept, close](ErrorCode error, std::size_t) {
+    const auto buffer = std::make_shared<const std::string>(text);
+    asio::async_write(socket, asio::buffer(*buffer),
+                      [self = shared_from_this(), buffer, close](ErrorCode error, std::size_t) {
                         self->written = !error;
                         if (close) self->Close();
                       });
@@ -120,12 +126,13 @@
     ErrorCode ignored;
     socket.close(ignored);
   }
+  // Closes the connection with a TCP reset.
   void Reset() {
     ErrorCode ignored;
     socket.set_option(asio::socket_base::linger(true, 0), ignored);
     socket.close(ignored);
   }
-  // Requests read so far whose header has come whole; enough for the bodies that the tests send.
+  // The number of complete headers received so far. The bodies that the tests send contain no blank line.
   int requests() const {
     int count = 0;
     for (std::size_t at = received.find("\r\n\r\n"); at != std::string::npos;
@@ -137,14 +144,14 @@
   Tcp::socket socket;
   std::string received;
   bool ended = false;
-  bool written = false;  // what was to be written later has been
+  bool written = false;  // WriteLater has completed
   std::function<void(Peer&)> on_data;
 
  private:
   std::array<char, 65536> input_{};
 };
 
-// Listens and plays `on_data` on each connection.
+// A server that calls `on_data` whenever one of its connections has received data.
 class ScriptedServer {
  public:
   explicit ScriptedServer(asio::io_context& io, std::function<void(Peer&)> script = {})
@@ -182,13 +189,14 @@
   Tcp::acceptor acceptor_;
 };
 
+// An HTTP response with a Content-Length.
 inline std::string Reply(const std::string& status, const std::string& body,
                          const std::string& headers = "") {
   return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
-// Answers each request with 200 and `body`.
+// A script that answers each request with 200 and `body`.
 inline std::function<void(Peer&)> Serves(const std::string& body) {
   return [body, answered = std::make_shared<std::vector<std::pair<const Peer*, int>>>()](Peer& peer) {
     auto it =
@@ -205,6 +213,7 @@
   return peer;
 }
 
+// A server's entry in a list of discovery.
 inline nlohmann::json Entry(const std::string& id, const Tcp::endpoint& address,
                             const std::string& lifecycle = "up", std::int64_t started_ms = 0,
                             const std::string& zone = "east") {
@@ -212,17 +221,20 @@
           {"cell", 1},        {"lifecycle", lifecycle},    {"weight", 1.0}, {"startedAtMs", started_ms}};
 }
 
+// A list of discovery; with `reset` it is a full list.
 inline nlohmann::json List(std::int64_t generation, bool reset,
                            const std::vector<nlohmann::json>& instances) {
   return {{"generation", generation}, {"reset", reset}, {"instances", instances}};
 }
 
+// A class of requests in the settings.
 inline nlohmann::json Class(const std::string& name, const std::string& repeat) {
   return {{"name", name},      {"aim_us", 1000000},    {"hard_limit_us", 5000000},
           {"importance", 1.0}, {"repeat", repeat},     {"group", "all"},
           {"late_value", 0.5}, {"window_us", 5000000}, {"stream", false}};
 }
 
+// A configuration with three classes ("look", "pay" and "port") and these servers as the known list.
 inline nlohmann::json ConfigJson(const Tcp::endpoint& discovery,
                                  const std::vector<nlohmann::json>& instances) {
   return {{"name", "n0"},
--- a/tests/net/sidecar_fixture.hpp
+++ b/tests/net/sidecar_fixture.hpp
@@ -1,4 +1,4 @@
-// A sidecar on loopback addresses with a scripted discovery, shared by the tests of it.
+// Test fixture: a sidecar on loopback addresses with a scripted discovery server.
 #ifndef MERLINRUN_TESTS_NET_SIDECAR_FIXTURE_HPP_
 #define MERLINRUN_TESTS_NET_SIDECAR_FIXTURE_HPP_
 
@@ -14,9 +14,10 @@
           if (peer.requests() != 1) return;
           watching = &peer;
           peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-          // On a busy machine a watch is taken for silent and asked for anew: it is told what came meanwhile.
+          // On a busy machine the sidecar may take its watch for silent and open a new one. The new watch
+          // gets the lists that were sent in the meantime.
           for (const nlohmann::json& list : lists_told)
-            if (list.at("generation") > IndexOf(peer)) WriteList(list);
+            if (list.at("generation") > KnownGeneration(peer)) WriteList(list);
         }) {
     WriteBlankLines();
   }
@@ -39,8 +40,8 @@
     lists_told.push_back(list);
     WriteList(list);
   }
-  // As long as nothing changes, an empty line comes every 2 s: without them the watch is taken for silent,
-  // and the list for out of date.
+  // Sends the blank lines that show that the watch is alive: discovery sends one every 2 s while nothing
+  // changes, and without them the sidecar takes the watch for silent and the list for stale.
   void WriteBlankLines() {
     blank_line_timer.expires_after(500ms);
     blank_line_timer.async_wait([this](ErrorCode error) {
@@ -55,8 +56,8 @@
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
     watching->Write(size + text + "\r\n");
   }
-  // What the caller of a watch knows already; nothing where it asks for the whole list.
-  static std::int64_t IndexOf(const Peer& peer) {
+  // The generation that the caller of a watch already has; -1 if it asks for the full list.
+  static std::int64_t KnownGeneration(const Peer& peer) {
     const std::size_t at = peer.received.find("index=");
     return at == std::string::npos ? -1 : std::stoll(peer.received.substr(at + 6));
   }
@@ -79,56 +80,60 @@
     client->Write(text);
     return client;
   }
-  // The status of the client's n-th answer; empty if none comes.
+  // Waits for the client's n-th answer and returns its status; empty if none arrives.
   std::string Status(Peer& client, int n = 1) {
     if (!RunUntil(io, [&] { return client.requests() >= n; })) return "";
     return StatusAt(client, n);
   }
-  // The same of one that has come.
+  // The status of the client's n-th answer, which has been received.
   static std::string StatusAt(const Peer& client, int n) {
     std::size_t at = 0;
     for (int i = 1; i < n; ++i) at = client.received.find("HTTP/1.1 ", at + 1);
     return client.received.substr(at + 9, 3);
   }
+  // Sends a request on a new connection and returns the status of its answer.
   std::string Ask(const std::string& text) { return Status(*Client(text)); }
-  // Has so many requests out until so many have been answered, one by one; `waiting` are those at the
-  // servers. One that is refused or given up, as when the machine stalls, is sent anew.
-  void KeepOut(std::size_t out, int count, std::vector<Peer*>& waiting) {
-    std::vector<int> answered(out, 0);
-    int sent_anew = 0;
-    const auto has_answer = [&](std::size_t client) { return kept[client]->requests() > answered[client]; };
-    const auto all_out = [&] {
+  // Keeps `in_flight` requests in flight until `count` of them have been answered, one by one. `waiting`
+  // holds the requests at the servers. A request that is refused or cancelled, which happens if the machine
+  // stalls, is sent again.
+  void KeepInFlight(std::size_t in_flight, int count, std::vector<Peer*>& waiting) {
+    std::vector<int> answered(in_flight, 0);
+    int resent = 0;
+    const auto has_answer = [&](std::size_t client) {
+      return open_clients[client]->requests() > answered[client];
+    };
+    const auto all_in_flight = [&] {
       std::erase_if(waiting, [](const Peer* peer) { return peer->ended; });
-      for (std::size_t client = 0; client < out; ++client) {
-        if (!has_answer(client) || StatusAt(*kept[client], answered[client] + 1) == "200") continue;
+      for (std::size_t client = 0; client < in_flight; ++client) {
+        if (!has_answer(client) || StatusAt(*open_clients[client], answered[client] + 1) == "200") continue;
         ++answered[client];
-        kept[client]->Write(Get("anew" + std::to_string(++sent_anew)));
+        open_clients[client]->Write(Get("anew" + std::to_string(++resent)));
       }
-      return waiting.size() == out;
+      return waiting.size() == in_flight;
     };
-    for (std::size_t i = 0; i < out; ++i) kept.push_back(Client(Get("c" + std::to_string(i))));
+    for (std::size_t i = 0; i < in_flight; ++i) open_clients.push_back(Client(Get("c" + std::to_string(i))));
     for (int i = 0; i < count; ++i) {
-      ASSERT_TRUE(RunUntil(io, all_out)) << i;
+      ASSERT_TRUE(RunUntil(io, all_in_flight)) << i;
       waiting.front()->Write(Reply("200 OK", "ok"));
       waiting.erase(waiting.begin());
       std::size_t next = 0;
       ASSERT_TRUE(RunUntil(io, [&] {
-        for (next = 0; next < out && !has_answer(next); ++next) continue;
-        return next < out;
+        for (next = 0; next < in_flight && !has_answer(next); ++next) continue;
+        return next < in_flight;
       }));
-      ASSERT_EQ(Status(*kept[next], ++answered[next]), "200");
-      kept[next]->Write(Get("d" + std::to_string(i)));
+      ASSERT_EQ(Status(*open_clients[next], ++answered[next]), "200");
+      open_clients[next]->Write(Get("d" + std::to_string(i)));
     }
-    ASSERT_TRUE(RunUntil(io, all_out));
+    ASSERT_TRUE(RunUntil(io, all_in_flight));
   }
 
   asio::io_context io;
   asio::steady_timer blank_line_timer{io};
-  Peer* watching = nullptr;  // the watch that was opened last
+  Peer* watching = nullptr;  // the watch that was opened most recently
   std::vector<nlohmann::json> lists_told;
   ScriptedServer discovery;
   std::unique_ptr<Sidecar> sidecar;
-  std::vector<std::shared_ptr<Peer>> kept;
+  std::vector<std::shared_ptr<Peer>> open_clients;
 };
 
 }  // namespace merlinrun::net::testing
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -1,4 +1,4 @@
-// The whole sidecar between scripted clients, servers and discovery.
+// Tests of the whole sidecar with scripted clients, servers and discovery.
 #include "net/sidecar.hpp"
 
 #include <sys/socket.h>
@@ -23,7 +23,7 @@
   EXPECT_EQ(Ask(Get("r1")), "200");
 }
 
-TEST_F(SidecarTest, PassesRequestAndAnswerOn) {
+TEST_F(SidecarTest, ForwardsRequestAndAnswer) {
   ScriptedServer server(io, Serves("the body"));
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1", "Connection: keep-alive\r\nTE: trailers\r\n"));
@@ -32,14 +32,15 @@
   const std::string& sent = server.peers[0]->received;
   EXPECT_EQ(sent.rfind("GET /api?obj=k1 HTTP/1.1\r\n", 0), 0U);
   EXPECT_NE(sent.find("Req-Id: r1\r\n"), std::string::npos);
-  EXPECT_NE(sent.find("Req-Deadline: 4.9"), std::string::npos) << sent;  // what is left, with the margin off
+  // The remaining time, less the margin.
+  EXPECT_NE(sent.find("Req-Deadline: 4.9"), std::string::npos) << sent;
   EXPECT_EQ(sent.find("TE: "), std::string::npos);
   client->Write(Get("r2"));
   EXPECT_EQ(Status(*client, 2), "200");
   EXPECT_EQ(sidecar->requests_held(), 0U);
 }
 
-TEST_F(SidecarTest, AnswersPipelinedRequestsInTurn) {
+TEST_F(SidecarTest, AnswersPipelinedRequestsInOrder) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   auto client = Client(Post("pay", "r1") + Get("r2") + Get("r3"));
@@ -47,7 +48,7 @@
   EXPECT_EQ(server.requests(), 3);
 }
 
-TEST_F(SidecarTest, RejectsWhatIsMalformedOrTooLargeAndLivesOn) {
+TEST_F(SidecarTest, RejectsMalformedAndTooLargeRequests) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   const std::pair<std::string, std::string> cases[] = {
@@ -68,7 +69,7 @@
   EXPECT_EQ(Ask(Get("r2")), "200");
 }
 
-TEST_F(SidecarTest, PassesOnTheHeadersOfTheProtocolAlone) {
+TEST_F(SidecarTest, ForwardsOnlyTheHeadersOfTheProtocol) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   EXPECT_EQ(Ask(Get("r1", "Req-Extra: a=1\r\nX-Other: x\r\nCookie: c\r\nUpgrade: h2c\r\n")), "200");
@@ -79,15 +80,15 @@
     EXPECT_EQ(sent.find(other), std::string::npos) << sent;
 }
 
-// A spoilt answer may have run: what is safe goes on to another server, what is not fails.
-TEST_F(SidecarTest, ASpoiltAnswerIsRetriedOnlyWhereThatIsSafe) {
+// A request with an invalid answer may have run: it is retried if that is safe, and fails otherwise.
+TEST_F(SidecarTest, AnInvalidAnswerIsRetriedOnlyIfThatIsSafe) {
   int seen = 0;
-  const auto spoils_first = [&](Peer& peer) {
+  const auto invalid_first = [&](Peer& peer) {
     peer.Write(seen++ == 0 ? "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxx"
                            : Reply("200 OK", "ok"));
   };
-  ScriptedServer one(io, spoils_first);
-  ScriptedServer two(io, spoils_first);
+  ScriptedServer one(io, invalid_first);
+  ScriptedServer two(io, invalid_first);
   Start({Entry("s1", one.address), Entry("s2", two.address)});
   EXPECT_EQ(Ask(Get("r1")), "200");
   EXPECT_EQ(seen, 2);
@@ -106,7 +107,7 @@
   EXPECT_EQ(one.requests() + two.requests(), 1);
 }
 
-TEST_F(SidecarTest, AnUnsafeRequestThatWasDeclinedGoesElsewhere) {
+TEST_F(SidecarTest, AnUnsafeRequestThatWasDeclinedIsSentToAnotherServer) {
   int seen = 0;
   const auto decline_first = [&](Peer& peer) {
     peer.Write(seen++ == 0 ? Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")
@@ -120,19 +121,19 @@
   EXPECT_EQ(two.requests(), 1);
 }
 
-TEST_F(SidecarTest, ASilentServerGetsNoMoreThanTheClientsTime) {
+TEST_F(SidecarTest, ARequestToASilentServerEndsBeforeTheClientsDeadline) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   const auto client = Client(Post("port", "r1", "0.6"));
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 1; }));
-  const InTime in_time(io, 600ms, [&] { return sidecar->requests_held() == 0; });
+  const DeadlineCheck deadline_check(io, 600ms, [&] { return sidecar->requests_held() == 0; });
   EXPECT_EQ(Status(*client), "502");
-  EXPECT_TRUE(in_time.Held());
+  EXPECT_TRUE(deadline_check.Met());
   EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; })) << "the attempt's connection was kept";
   EXPECT_EQ(sidecar->requests_held(), 0U);
 }
 
-TEST_F(SidecarTest, AClientThatLeavesEndsItsAttempt) {
+TEST_F(SidecarTest, AnAttemptEndsWhenItsClientDisconnects) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1"));
@@ -142,7 +143,7 @@
   EXPECT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
 }
 
-TEST_F(SidecarTest, ATruncatedAnswerIsNeverPassedOn) {
+TEST_F(SidecarTest, ATruncatedAnswerIsNeverForwarded) {
   int seen = 0;
   ScriptedServer server(io, [&](Peer& peer) {
     if (seen++ > 0) return peer.Write(Reply("200 OK", "whole"));
@@ -151,12 +152,12 @@
   });
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1"));
-  EXPECT_EQ(Status(*client), "200");  // safe to repeat: the module sends it again
+  EXPECT_EQ(Status(*client), "200");  // safe to repeat, so it is retried
   ASSERT_TRUE(RunUntil(io, [&] { return client->received.find("whole") != std::string::npos; }));
   EXPECT_EQ(client->received.find("short"), std::string::npos);
 }
 
-TEST_F(SidecarTest, RefusesWithAdviceWhenNoServerCanBeReached) {
+TEST_F(SidecarTest, RefusesWithRetryAfterWhenNoServerCanBeReached) {
   ScriptedServer server(io);
   server.StopListening();
   Start({Entry("s1", server.address)});
@@ -165,7 +166,7 @@
   EXPECT_NE(client->received.find("Retry-After: "), std::string::npos);
 }
 
-TEST_F(SidecarTest, SendsNothingToAServerThatDrains) {
+TEST_F(SidecarTest, SendsNothingToADrainingServer) {
   ScriptedServer one(io, Serves("one"));
   ScriptedServer two(io, Serves("two"));
   Start({Entry("s1", one.address)});
@@ -177,15 +178,15 @@
   EXPECT_EQ(two.requests(), 5);
 }
 
-// Met on a day on which servers are replaced: each answer that broke off, and each dear request, left a
-// healthy server alone for a while, up to five of nine at once, and the rest were overrun.
-TEST_F(SidecarTest, AServerThatServesOthersIsNotLeftAloneForOneSpoiltAnswer) {
-  const auto holds_one = [](Peer& peer) {
+// Seen in a run with server replacements: each answer that was cut off, and each expensive request,
+// ejected a healthy server for a while, up to five of nine at once, and the others were overloaded.
+TEST_F(SidecarTest, AServerThatServesOtherRequestsIsNotEjectedForOneInvalidAnswer) {
+  const auto all_but_held = [](Peer& peer) {
     if (peer.received.find("Req-Id: held", peer.received.rfind("Req-Id: ")) == std::string::npos)
       peer.Write(Reply("200 OK", "ok"));
   };
-  ScriptedServer one(io, holds_one);
-  ScriptedServer two(io, holds_one);
+  ScriptedServer one(io, all_but_held);
+  ScriptedServer two(io, all_but_held);
   Start({Entry("s1", one.address), Entry("s2", two.address)});
   auto held = Client(Post("port", "held"));
   ASSERT_TRUE(RunUntil(io, [&] { return one.requests() + two.requests() == 1; }));
@@ -198,8 +199,8 @@
   EXPECT_GT(holder.requests(), before + 2);
 }
 
-// Met on the same day: each server that was replaced cut what was let in for a quarter second.
-TEST_F(SidecarTest, AServerThatIsReplacedRefusesNobody) {
+// Seen in the same run: each server replacement reduced admission for a quarter of a second.
+TEST_F(SidecarTest, ReplacingAServerRefusesNoRequest) {
   bool answers = true;
   ScriptedServer server(io, [&](Peer& peer) {
     if (answers) peer.Write(Reply("200 OK", "ok"));
@@ -218,13 +219,14 @@
   for (const auto& client : clients) EXPECT_EQ(client->received, "");
 }
 
-// Met on the same day: servers stopped answering while the answers that came were as quick as ever, and all
-// was let in until most were overrun. What is out tells it before any answer does.
-TEST_F(SidecarTest, MoreAttemptsOutThanUsualLetInLess) {
+// Seen in the same run: some servers stopped answering while the other answers were as fast as ever, so all
+// requests were admitted until most servers were overloaded. The number of attempts in flight shows the
+// problem before any answer does.
+TEST_F(SidecarTest, MoreAttemptsInFlightThanUsualReduceAdmission) {
   std::vector<Peer*> waiting;
   ScriptedServer server(io, [&](Peer& peer) { waiting.push_back(&peer); });
   Start({Entry("s1", server.address), Entry("s2", server.address)});
-  KeepOut(32, 700, waiting);
+  KeepInFlight(32, 700, waiting);
   std::vector<std::shared_ptr<Peer>> more;
   for (int i = 0; i < 80; ++i) more.push_back(Client(Get("e" + std::to_string(i))));
   const auto refused = [&] {
@@ -235,11 +237,11 @@
   EXPECT_LT(waiting.size(), 70U);
 }
 
-// Met on the same day: servers that stalled for a second or two collected up to 20 requests each before the
+// Seen in the same run: servers that stalled for a second or two collected up to 20 requests each before the
 // first of them was late.
-TEST_F(SidecarTest, AServerThatGoesSilentWithWorkInHandGetsLittleMore) {
+TEST_F(SidecarTest, AServerThatStallsWithRequestsInFlightGetsFewMore) {
   bool stalls = false;
-  int sent_anew = 0;
+  int resent = 0;
   const auto delayed = [&](Peer& peer) {
     const auto timer = std::make_shared<asio::steady_timer>(io, 40ms);
     timer->async_wait(
@@ -253,7 +255,8 @@
   for (int i = 1; i < 7; ++i) servers.push_back(Entry("s" + std::to_string(i), good.address));
   Start(servers);
   std::vector<std::shared_ptr<Peer>> clients;
-  // Until so many have come to the servers: one that is refused, as on a busy machine, is sent anew.
+  // Sends until this many requests have reached the servers: a request that is refused, which happens on a
+  // busy machine, is sent again.
   const auto send = [&](int count) {
     const int before = good.requests() + stalled.requests();
     std::vector<std::shared_ptr<Peer>> open;
@@ -265,27 +268,27 @@
       for (auto& client : open) {
         if (client->received.rfind("HTTP/1.1 503", 0) != 0) continue;
         clients.erase(std::find(clients.begin(), clients.end(), client));
-        client = Client(Get("again" + std::to_string(sent_anew++)));
+        client = Client(Get("again" + std::to_string(resent++)));
         clients.push_back(client);
       }
       return good.requests() + stalled.requests() - before >= count;
     });
   };
-  ASSERT_TRUE(send(60));  // they teach what is usual
+  ASSERT_TRUE(send(60));  // from these the usual answer time is learned
   for (const auto& client : clients) ASSERT_EQ(Status(*client), "200");
   stalls = true;
   const int before = stalled.requests();
   ASSERT_TRUE(send(40));
   const int held = stalled.requests() - before;
   ASSERT_GT(held, 0);
-  RunFor(io, 500ms);  // half of their aim
+  RunFor(io, 500ms);  // half of their latency target
   ASSERT_TRUE(send(150));
   EXPECT_LT(stalled.requests() - before - held, 10);
 }
 
-// Met on the long day: requests that no server answered kept more than half of the work from servers that
-// stood idle.
-TEST_F(SidecarTest, RequestsWithoutAnAnswerAreNoPressureWhileLittleIsOut) {
+// Seen in a long run: requests that no server answered caused more than half of all requests to be
+// refused while servers were idle.
+TEST_F(SidecarTest, UnansweredRequestsAreNoOverloadSignalWhileFewAreInFlight) {
   std::vector<Peer*> waiting;
   bool answers = true;
   ScriptedServer server(io, [&](Peer& peer) {
@@ -293,7 +296,7 @@
       answers ? waiting.push_back(&peer) : peer.Write(Reply("200 OK", "ok"));
   });
   Start({Entry("s1", server.address), Entry("s2", server.address)});
-  KeepOut(32, 700, waiting);
+  KeepInFlight(32, 700, waiting);
   answers = false;
   for (Peer* peer : std::exchange(waiting, {})) peer->Write(Reply("200 OK", "ok"));
   std::vector<std::shared_ptr<Peer>> lost;
@@ -308,7 +311,7 @@
   EXPECT_EQ(served, 20);
 }
 
-TEST_F(SidecarTest, AnIdInUseIsNotTakenTwice) {
+TEST_F(SidecarTest, AnIdInUseIsRejected) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto first = Client(Post("port", "r1"));
@@ -319,11 +322,11 @@
   EXPECT_EQ(Status(*first), "200");
 }
 
-TEST_F(SidecarTest, MakesRoomForClientsByClosingIdleConnections) {
+TEST_F(SidecarTest, ClosesIdleConnectionsToAcceptNewClients) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)}, [](nlohmann::json& json) { json["limits"]["sockets"] = 64; });
   std::vector<std::shared_ptr<Peer>> clients;
-  for (int i = 0; i < 60; ++i) {  // three times what 64 descriptors leave room for
+  for (int i = 0; i < 60; ++i) {  // three times as many as 64 descriptors allow
     clients.push_back(Client(Get("r" + std::to_string(i))));
     EXPECT_EQ(Status(*clients.back()), "200") << i;
   }
@@ -331,8 +334,8 @@
   EXPECT_FALSE(clients.back()->ended);
 }
 
-// The figures that operators read, against what clients and servers saw.
-TEST_F(SidecarTest, FiguresAddUpToWhatClientsAndServersSaw) {
+// Compares /ops/stats with what clients and servers saw.
+TEST_F(SidecarTest, StatsMatchWhatClientsAndServersSaw) {
   std::vector<Peer*> held;
   ScriptedServer server(io, [&](Peer& peer) {
     const std::size_t at = peer.received.rfind("Req-Id: ") + 8;
@@ -353,7 +356,8 @@
   EXPECT_EQ(Ask(Post("port", "e1")), "502");
   EXPECT_EQ(Ask(Post("port", "f1")), "503");
   EXPECT_EQ(Ask("GET /api HTTP/1.1\r\nReq-Id: x\r\nReq-Kind: none\r\n\r\n"), "404");
-  EXPECT_EQ(Ask("GET /ops/stats HTTP/1.1\r\nReq-Id: x\r\n\r\n"), "404");  // the door has its own address
+  // The management endpoint has its own address.
+  EXPECT_EQ(Ask("GET /ops/stats HTTP/1.1\r\nReq-Id: x\r\n\r\n"), "404");
   auto leaving = Client(get("h1"));
   ASSERT_TRUE(RunUntil(io, [&] { return held.size() == 1; }));
   leaving->Close();
@@ -363,21 +367,21 @@
   auto caller = Connect(io, sidecar->management_address());
   caller->Write("GET /ops/stats HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(RunUntil(io, [&] { return caller->ended; }));
-  const auto figures = nlohmann::json::parse(caller->received.substr(caller->received.find("\r\n\r\n") + 4));
+  const auto stats = nlohmann::json::parse(caller->received.substr(caller->received.find("\r\n\r\n") + 4));
   const std::string look = "lo\"ok, \xc3\xa9";
-  EXPECT_EQ(figures.at("passed"), nlohmann::json({{look, 3}, {"pay", 0}, {"port", 0}}));
-  EXPECT_EQ(figures.at("dropped"), nlohmann::json({{look, 0}, {"pay", 0}, {"port", 1}}));
-  EXPECT_EQ(figures.at("bad_gateway"), nlohmann::json({{look, 0}, {"pay", 0}, {"port", 1}}));
-  EXPECT_EQ(figures.at("upstream_tries"), server.requests());
-  EXPECT_EQ(figures.at("in_progress"), 1);
-  EXPECT_EQ(figures.at("known_servers"), 2);
-  EXPECT_EQ(figures.at("skipped_servers"), 0);
-  EXPECT_EQ(figures.size(), 7U);
+  EXPECT_EQ(stats.at("passed"), nlohmann::json({{look, 3}, {"pay", 0}, {"port", 0}}));
+  EXPECT_EQ(stats.at("dropped"), nlohmann::json({{look, 0}, {"pay", 0}, {"port", 1}}));
+  EXPECT_EQ(stats.at("bad_gateway"), nlohmann::json({{look, 0}, {"pay", 0}, {"port", 1}}));
+  EXPECT_EQ(stats.at("upstream_tries"), server.requests());
+  EXPECT_EQ(stats.at("in_progress"), 1);
+  EXPECT_EQ(stats.at("known_servers"), 2);
+  EXPECT_EQ(stats.at("skipped_servers"), 0);
+  EXPECT_EQ(stats.size(), 7U);
   for (const auto& counts : sidecar->counters().classes())
     EXPECT_EQ(counts.taken, counts.ended() + (&counts == &sidecar->counters().classes()[0] ? 1 : 0));
 }
 
-// ---- Bodies that are passed on in pieces ----
+// ---- Streamed bodies ----
 
 class StreamTest : public SidecarTest {
  protected:
@@ -386,12 +390,12 @@
     for (std::size_t i = 0; i < size; ++i) text[i] = static_cast<char>('a' + i * 7 % 26 + i / 65536 % 5);
     return text;
   }
-  static std::string Chunked(const std::string& body, std::size_t piece) {
+  static std::string Chunked(const std::string& body, std::size_t chunk) {
     std::string out;
-    for (std::size_t at = 0; at < body.size(); at += piece) {
+    for (std::size_t at = 0; at < body.size(); at += chunk) {
       char size[32];
-      std::snprintf(size, sizeof size, "%zx;x=\"y\"\r\n", std::min(piece, body.size() - at));
-      out += size + body.substr(at, piece) + "\r\n";
+      std::snprintf(size, sizeof size, "%zx;x=\"y\"\r\n", std::min(chunk, body.size() - at));
+      out += size + body.substr(at, chunk) + "\r\n";
     }
     return out + "0\r\nX-Sum: 1\r\n\r\n";
   }
@@ -413,11 +417,11 @@
     return "POST /api HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Kind: pay\r\nIdempotency-Key: k\r\n" + framing +
            "\r\n\r\n";
   }
-  Counters::Class Look() const { return sidecar->counters().classes()[0]; }
-  Counters::Class Pay() const { return sidecar->counters().classes()[1]; }
+  Counters::Class LookClass() const { return sidecar->counters().classes()[0]; }
+  Counters::Class PayClass() const { return sidecar->counters().classes()[1]; }
 };
 
-TEST_F(StreamTest, LongAnswersPassUnchangedHoweverTheyAreFramed) {
+TEST_F(StreamTest, LongAnswersAreForwardedUnchangedWithAnyFraming) {
   const std::string body = Pattern(std::size_t{3} << 20);
   int mode = 0;
   ScriptedServer server(io, [&](Peer& peer) {
@@ -430,20 +434,21 @@
   for (; mode < 3; ++mode) {
     auto client = Client(Get("r" + std::to_string(mode)));
     const auto got = [&] { return mode == 0 ? Body(*client) : Unchunked(Body(*client)); };
-    ASSERT_TRUE(RunUntil(io, [&] { return Look().served == static_cast<std::uint64_t>(mode) + 1; })) << mode;
+    ASSERT_TRUE(RunUntil(io, [&] { return LookClass().served == static_cast<std::uint64_t>(mode) + 1; }))
+        << mode;
     ASSERT_TRUE(RunUntil(io, [&] { return client->received.size() >= body.size(); }));
     RunFor(io, 20ms);
     EXPECT_TRUE(got() == body) << mode;
     EXPECT_FALSE(client->ended);
     client->received.clear();
-    client->Write("GET /ready HTTP/1.1\r\n\r\n");  // the connection is still in step
+    client->Write("GET /ready HTTP/1.1\r\n\r\n");  // the connection can still be used
     EXPECT_EQ(Status(*client), "200");
   }
   EXPECT_EQ(sidecar->counters().open(), 0U);
 }
 
-// HTTP/1.0 knows no chunks: the end of the connection is the end of the answer.
-TEST_F(StreamTest, AnOldClientGetsAnAnswerOfUnknownLengthUntilTheClose) {
+// HTTP/1.0 has no chunked encoding: the end of the connection marks the end of the answer.
+TEST_F(StreamTest, AnHttp10ClientGetsAnAnswerOfUnknownLengthUntilTheClose) {
   const std::string body = Pattern(300'000);
   ScriptedServer server(io, [&](Peer& peer) {
     peer.WriteLater("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunked(body, 9'000));
@@ -454,7 +459,7 @@
   EXPECT_TRUE(Body(*client) == body);
 }
 
-TEST_F(StreamTest, AnAnswerThatBreaksOffIsSeenAsBroken) {
+TEST_F(StreamTest, AnAnswerThatIsCutOffIsVisibleAsCutOff) {
   for (const std::string framing : {"Content-Length: 1000000", "Transfer-Encoding: chunked"}) {
     ScriptedServer server(io, [&](Peer& peer) {
       peer.Write("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (framing[0] == 'T' ? "F0000\r\n" : "") +
@@ -466,14 +471,14 @@
     ASSERT_TRUE(RunUntil(io, [&] { return client->ended; }));
     EXPECT_EQ(client->received.substr(9, 3), "200");
     EXPECT_EQ(client->received.find("\r\n0\r\n"), std::string::npos);
-    EXPECT_EQ(Look().failed, 1U);
-    EXPECT_EQ(Look().served, 0U);
+    EXPECT_EQ(LookClass().failed, 1U);
+    EXPECT_EQ(LookClass().served, 0U);
     watching = nullptr;
   }
 }
 
-// Nothing piles up here: a client that does not read stops the server that writes.
-TEST_F(StreamTest, AClientThatDoesNotReadHoldsTheServerBack) {
+// Backpressure: the sidecar queues nothing, so the server's writes block while the client does not read.
+TEST_F(StreamTest, AClientThatDoesNotReadSlowsTheServerDown) {
   const std::string body = Pattern(std::size_t{32} << 20);
   Peer* writing = nullptr;
   ScriptedServer server(io, [&](Peer& peer) { (writing = &peer)->WriteLater(Reply("200 OK", body)); });
@@ -486,14 +491,14 @@
   EXPECT_FALSE(writing->written);
   EXPECT_EQ(sidecar->counters().open(), 1U);
   client->Read();
-  ASSERT_TRUE(RunUntil(io, [&] { return writing->written && Look().served == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return writing->written && LookClass().served == 1; }));
   ASSERT_TRUE(RunUntil(io, [&] { return Body(*client).size() == body.size(); }));
   EXPECT_TRUE(Body(*client) == body);
 }
 
-// The same the other way round: a server that does not read stops the client that writes. Nothing moves then,
-// and the request ends as one that no server has begun.
-TEST_F(StreamTest, AServerThatDoesNotReadHoldsTheClientBackUntilItIsGivenUp) {
+// Backpressure in the other direction: the client's writes block while the server does not read. The transfer
+// stalls, and the request ends as one that no server has started.
+TEST_F(StreamTest, AServerThatDoesNotReadSlowsTheClientDownUntilTheAttemptIsAborted) {
   Tcp::acceptor acceptor(io, Loopback());
   Tcp::socket silent(io);
   bool connected = false;
@@ -507,10 +512,10 @@
   EXPECT_FALSE(client->written);
   EXPECT_EQ(Status(*client), "503");
   EXPECT_EQ(sidecar->counters().attempts(), 0U);
-  EXPECT_EQ(Pay().refused, 1U);
+  EXPECT_EQ(PayClass().refused, 1U);
 }
 
-TEST_F(StreamTest, LongRequestsPassUnchangedAndAreCountedOnce) {
+TEST_F(StreamTest, LongRequestsAreForwardedUnchangedAndCountedOnce) {
   const std::string body = Pattern(std::size_t{2} << 20);
   std::string received;
   bool chunked = false;
@@ -519,7 +524,7 @@
     const bool whole = chunked ? received.size() > 5 && received.substr(received.size() - 5) == "0\r\n\r\n"
                                : received.size() == body.size();
     if (!whole) return;
-    peer.received.clear();  // the next request may come on the same connection
+    peer.received.clear();  // the next request may use the same connection
     peer.Write(Reply("200 OK", "ok"));
   });
   Start({Entry("s1", server.address)});
@@ -528,17 +533,17 @@
   EXPECT_EQ(Status(*told), "200");
   EXPECT_TRUE(received == body);
   chunked = true;
-  auto pieces = Connect(io, sidecar->address());
-  pieces->WriteLater(PostHead("r2", "Transfer-Encoding: chunked") + Chunked(body, 70'000));
-  EXPECT_EQ(Status(*pieces), "200");
+  auto chunks = Connect(io, sidecar->address());
+  chunks->WriteLater(PostHead("r2", "Transfer-Encoding: chunked") + Chunked(body, 70'000));
+  EXPECT_EQ(Status(*chunks), "200");
   EXPECT_TRUE(Unchunked(received) == body);
-  EXPECT_EQ(Pay().served, 2U);
-  EXPECT_EQ(Pay().taken, 2U);
+  EXPECT_EQ(PayClass().served, 2U);
+  EXPECT_EQ(PayClass().taken, 2U);
   EXPECT_EQ(sidecar->counters().attempts(), 2U);
 }
 
-// Up to what is held a request can be sent again; once more has been passed on it cannot.
-TEST_F(StreamTest, ALongRequestIsSentAgainOnlyWhileAllOfItIsHeld) {
+// A request can be retried until more of its body than the buffered part has been forwarded.
+TEST_F(StreamTest, ALongRequestIsRetriedOnlyWhileItsBodyIsFullyBuffered) {
   const std::string body = Pattern(std::size_t{1} << 20);
   ScriptedServer gone(io);
   gone.StopListening();
@@ -553,7 +558,7 @@
   });
   Start({Entry("s1", gone.address), Entry("s2", server.address)});
   const std::string framing = "Content-Length: " + std::to_string(body.size());
-  for (int i = 0; i < 4; ++i) {  // some of them try the one that is gone first
+  for (int i = 0; i < 4; ++i) {  // some of them try the unreachable server first
     auto client = Connect(io, sidecar->address());
     client->WriteLater(PostHead("r" + std::to_string(i), framing) + body);
     ASSERT_EQ(Status(*client), "200");
@@ -563,37 +568,37 @@
   const std::size_t connections = server.peers.size();
   auto client = Connect(io, sidecar->address());
   client->WriteLater(PostHead("x", framing) + body);
-  EXPECT_EQ(Status(*client), "503");  // no server has begun it
+  EXPECT_EQ(Status(*client), "503");  // no server has started it
   RunFor(io, 300ms);
   EXPECT_LE(server.peers.size(), connections + 1);
 }
 
-TEST_F(StreamTest, ABodyMayComeSlowlyButHasToCome) {
+TEST_F(StreamTest, ASlowBodyIsAcceptedAndAStalledOneIsNot) {
   ScriptedServer server(io, [](Peer& peer) {
     if (Body(peer).size() == 100'000) peer.Write(Reply("200 OK", "ok"));
   });
   Start({Entry("s1", server.address)});
   const std::string head = PostHead("r1", "Content-Length: 100000");
   auto stalled = Client(head + std::string(80'000, 'x'));
-  const InTime in_time(io, 6s, [&] { return Pay().gone == 1; });
+  const DeadlineCheck deadline_check(io, 6s, [&] { return PayClass().gone == 1; });
   auto slow = Client(PostHead("r2", "Content-Length: 100000"));
   const auto begin = std::chrono::steady_clock::now();
-  // As slow as a client may be, and no slower on a busy machine.
+  // Writes at the lowest rate allowed, and no slower on a busy machine.
   for (std::size_t sent = 0; sent < 100'000;) {
-    const auto pieces = static_cast<std::size_t>((std::chrono::steady_clock::now() - begin) / 30ms) + 1;
-    const std::size_t now = std::min<std::size_t>(std::max(pieces * 2'000, sent + 2'000), 100'000);
+    const auto chunks = static_cast<std::size_t>((std::chrono::steady_clock::now() - begin) / 30ms) + 1;
+    const std::size_t now = std::min<std::size_t>(std::max(chunks * 2'000, sent + 2'000), 100'000);
     slow->Write(std::string(now - sent, 'x'));
     sent = now;
     RunFor(io, 30ms);
   }
   EXPECT_EQ(Status(*slow), "200");
   EXPECT_EQ(Status(*stalled), "408");
-  EXPECT_TRUE(in_time.Held());
-  EXPECT_EQ(Pay().gone, 1U);
+  EXPECT_TRUE(deadline_check.Met());
+  EXPECT_EQ(PayClass().gone, 1U);
   EXPECT_EQ(sidecar->counters().open(), 0U);
 }
 
-TEST_F(StreamTest, ASpoiltChunkInALongRequestReachesNoServerWhole) {
+TEST_F(StreamTest, ALongRequestWithAnInvalidChunkIsNeverSentCompletely) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto client = Client(PostHead("r1", "Transfer-Encoding: chunked") + "14000\r\n" +
@@ -602,7 +607,7 @@
   EXPECT_EQ(sidecar->counters().attempts(), 0U);
 }
 
-TEST_F(StreamTest, WhoeverExpectsToGoOnIsToldSo) {
+TEST_F(StreamTest, AnswersExpectContinue) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   auto client = Client(PostHead("r1", "Content-Length: 4\r\nExpect: 100-continue"));
@@ -612,7 +617,7 @@
   EXPECT_EQ(Status(*client, 2), "200");
 }
 
-TEST_F(StreamTest, AHeadRequestIsToldTheMethodAndGetsNoBody) {
+TEST_F(StreamTest, AHeadRequestGetsTheAllowedMethodAndNoBody) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   auto client = Client("HEAD /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: look\r\n\r\n");
@@ -622,13 +627,13 @@
   EXPECT_EQ(Body(*client), "");
 }
 
-class BanTest : public SidecarTest {
+class AdminDownTest : public SidecarTest {
  protected:
-  BanTest() {
+  AdminDownTest() {
     char name[] = "/tmp/fennelhollow-shared-XXXXXX";
     folder = ::mkdtemp(name);
   }
-  ~BanTest() override { std::filesystem::remove_all(folder); }
+  ~AdminDownTest() override { std::filesystem::remove_all(folder); }
   void StartWith(const std::vector<nlohmann::json>& instances) {
     Config config = ParseConfig(ConfigJson(discovery.address, instances).dump());
     config.listen = Loopback();
@@ -639,7 +644,7 @@
     sidecar->Start();
     ASSERT_TRUE(RunUntil(io, [&] { return watching != nullptr; }));
   }
-  std::string Order(const std::string& call) {
+  std::string PostManagement(const std::string& call) {
     auto caller = Connect(io, sidecar->management_address());
     caller->Write("POST /ops/servers/" + call + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
     EXPECT_TRUE(RunUntil(io, [&] { return caller->ended; }));
@@ -660,40 +665,40 @@
   int asked = 0;
 };
 
-TEST_F(BanTest, AServerThatIsOutGetsNothingWhateverDiscoverySays) {
-  ScriptedServer out(io, Serves("ok"));
+TEST_F(AdminDownTest, AnAdministrativelyDownServerGetsNothingWhateverDiscoverySays) {
+  ScriptedServer down(io, Serves("ok"));
   ScriptedServer other(io, Serves("ok"));
-  std::vector<nlohmann::json> both = {Entry("s1", out.address)};
+  std::vector<nlohmann::json> both = {Entry("s1", down.address)};
   for (int i = 2; i < 9; ++i) both.push_back(Entry("s" + std::to_string(i), other.address));
   StartWith(both);
   AskMany(30);
-  EXPECT_GT(out.requests(), 0);
-  const int before = out.requests();
-  EXPECT_EQ(Order("down/s1"), "200");
-  EXPECT_EQ(Order("down/s1"), "200");
+  EXPECT_GT(down.requests(), 0);
+  const int before = down.requests();
+  EXPECT_EQ(PostManagement("down/s1"), "200");
+  EXPECT_EQ(PostManagement("down/s1"), "200");
   EXPECT_EQ(SkippedServers(), 1);
   AskMany(10);
   Tell(List(2, true, both));
   AskMany(10);
-  Tell(List(3, false, {Entry("s1", out.address, "removed")}));
-  Tell(List(4, false, {Entry("s1", out.address, "up", 1000)}));
+  Tell(List(3, false, {Entry("s1", down.address, "removed")}));
+  Tell(List(4, false, {Entry("s1", down.address, "up", 1000)}));
   AskMany(10);
-  EXPECT_EQ(out.requests(), before);
+  EXPECT_EQ(down.requests(), before);
   StartWith(both);  // as after a restart
   AskMany(10);
-  EXPECT_EQ(out.requests(), before);
-  EXPECT_EQ(Order("up/s1"), "200");
+  EXPECT_EQ(down.requests(), before);
+  EXPECT_EQ(PostManagement("up/s1"), "200");
   EXPECT_EQ(SkippedServers(), 0);
-  for (int i = 0; i < 100 && out.requests() == before; ++i) AskMany(1);
-  EXPECT_GT(out.requests(), before);
+  for (int i = 0; i < 100 && down.requests() == before; ++i) AskMany(1);
+  EXPECT_GT(down.requests(), before);
   EXPECT_TRUE(std::filesystem::is_empty(folder));
 }
 
-// Two processes of one sidecar while a new version takes over.
-TEST_F(BanTest, ABanByEitherDoorHoldsInBothProcesses) {
-  ScriptedServer out(io, Serves("ok"));
+// Two processes of one sidecar run at the same time while a new version takes over.
+TEST_F(AdminDownTest, AChangeAtEitherManagementEndpointAppliesToBothProcesses) {
+  ScriptedServer down(io, Serves("ok"));
   ScriptedServer other(io, Serves("ok"));
-  std::vector<nlohmann::json> servers = {Entry("s1", out.address)};
+  std::vector<nlohmann::json> servers = {Entry("s1", down.address)};
   for (int i = 2; i < 9; ++i) servers.push_back(Entry("s" + std::to_string(i), other.address));
   Tcp::acceptor listener(io, Loopback());
   const auto start = [&] {
@@ -707,21 +712,22 @@
   };
   std::unique_ptr<Sidecar> older = start();
   std::unique_ptr<Sidecar> newer = start();
-  const auto order = [&](const Sidecar& process, const std::string& call) {
+  const auto post = [&](const Sidecar& process, const std::string& call) {
     auto caller = Connect(io, process.management_address());
     caller->Write("POST /ops/servers/" + call + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
     EXPECT_TRUE(RunUntil(io, [&] { return caller->ended; }));
     return caller->received.substr(9, 3);
   };
-  const auto skips = [&](const Sidecar& process, const std::string& count) {
-    // Within 1 s of the loop: whoever asks after that is told what held by then.
-    bool over = false;
+  const auto reports_skipped = [&](const Sidecar& process, const std::string& count) {
+    // The change must apply within 1 s. The timer runs in the event loop, and the last call is made after it
+    // has expired, so a slow machine does not change the result.
+    bool expired = false;
     asio::steady_timer second(io, 1s);
     second.async_wait([&](ErrorCode error) {
-      if (!error) over = true;
+      if (!error) expired = true;
     });
     for (;;) {
-      const bool last = over;
+      const bool last = expired;
       auto caller = Connect(io, process.management_address());
       caller->Write("GET /ops/stats HTTP/1.1\r\n\r\n");
       EXPECT_TRUE(RunUntil(io, [&] { return caller->ended; }));
@@ -729,45 +735,45 @@
       if (last) return false;
     }
   };
-  EXPECT_EQ(order(*older, "down/s1"), "200");
-  EXPECT_TRUE(skips(*older, "1") && skips(*newer, "1"));
-  EXPECT_EQ(order(*newer, "up/s1"), "200");
-  EXPECT_TRUE(skips(*newer, "0") && skips(*older, "0"));
-  EXPECT_EQ(order(*newer, "down/s1"), "200");
-  EXPECT_TRUE(skips(*older, "1"));
+  EXPECT_EQ(post(*older, "down/s1"), "200");
+  EXPECT_TRUE(reports_skipped(*older, "1") && reports_skipped(*newer, "1"));
+  EXPECT_EQ(post(*newer, "up/s1"), "200");
+  EXPECT_TRUE(reports_skipped(*newer, "0") && reports_skipped(*older, "0"));
+  EXPECT_EQ(post(*newer, "down/s1"), "200");
+  EXPECT_TRUE(reports_skipped(*older, "1"));
   older.reset();
-  RunFor(io, 300ms);  // it goes, the order stays
-  EXPECT_TRUE(skips(*newer, "1"));
+  RunFor(io, 300ms);  // the process has ended, the change still applies
+  EXPECT_TRUE(reports_skipped(*newer, "1"));
   newer.reset();
 }
 
-TEST_F(BanTest, WhatWasNeverListedIsNoAndWhatCannotBeKeptChangesNothing) {
+TEST_F(AdminDownTest, RejectsUnknownServersAndChangesThatCannotBeRecorded) {
   ScriptedServer server(io, Serves("ok"));
   StartWith({Entry("s1", server.address)});
-  EXPECT_EQ(Order("down/s9"), "404");
-  EXPECT_EQ(Order("up/s9"), "404");
-  EXPECT_EQ(Order("down/..%2Fs1"), "404");
-  EXPECT_EQ(Order("up/s1"), "200");  // listed, and not out
+  EXPECT_EQ(PostManagement("down/s9"), "404");
+  EXPECT_EQ(PostManagement("up/s9"), "404");
+  EXPECT_EQ(PostManagement("down/..%2Fs1"), "404");
+  EXPECT_EQ(PostManagement("up/s1"), "200");  // listed, and not down
   std::filesystem::remove_all(folder);
-  EXPECT_EQ(Order("down/s1"), "503");
+  EXPECT_EQ(PostManagement("down/s1"), "503");
   EXPECT_EQ(SkippedServers(), 0);
   AskMany(3);
 }
 
-// The last server of all: requests end at once and nothing reaches it; work under way finishes there.
-TEST_F(BanTest, WithTheLastServerOutRequestsAreRefusedAndWorkUnderWayFinishes) {
+// New requests are refused at once and never reach the server; a request that it is working on completes.
+TEST_F(AdminDownTest, WithTheLastServerDownRequestsAreRefusedAndThoseInProgressFinish) {
   ScriptedServer server(io);
   StartWith({Entry("s1", server.address)});
   auto under_way = Client(Get("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
-  EXPECT_EQ(Order("down/s1"), "200");
+  EXPECT_EQ(PostManagement("down/s1"), "200");
   EXPECT_EQ(Ask(Get("r2")), "503");
   EXPECT_EQ(server.requests(), 1);
   server.peers[0]->Write(Reply("200 OK", "ok"));
   EXPECT_EQ(Status(*under_way), "200");
 }
 
-TEST_F(SidecarTest, ADrainTakesWhatStillComesAndFinishesWhatIsHeld) {
+TEST_F(SidecarTest, ADrainAcceptsLateClientsAndFinishesPendingRequests) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto idle = Connect(io, sidecar->address());
@@ -775,8 +781,8 @@
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   bool finished = false;
   std::shared_ptr<Peer> late;
-  bool looked = false;
-  // In the loop, where it comes before what the drain does later, whatever the machine's speed.
+  bool checked = false;
+  // A timer in the event loop runs before the later steps of the drain, however slow the machine is.
   asio::steady_timer timer(io, 500ms);
   timer.async_wait([&](ErrorCode) {
     late = Client(Get("r2"));
@@ -786,11 +792,11 @@
       char byte = 0;
       EXPECT_TRUE(idle->ended ||
                   ::recv(idle->socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0);
-      looked = true;
+      checked = true;
     });
   });
   sidecar->Drain([&] { finished = true; });
-  ASSERT_TRUE(RunUntil(io, [&] { return looked; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return checked; }));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 2; }));
   for (auto& peer : server.peers) peer->Write(Reply("200 OK", "ok"));
   for (const auto& client : {held, late}) {
@@ -808,11 +814,12 @@
   auto client = Client(Post("port", "r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   bool finished = false;
-  const InTime in_time(io, 3700ms, [&] { return finished; });  // the kill comes no sooner
+  // The process is killed no sooner than this.
+  const DeadlineCheck deadline_check(io, 3700ms, [&] { return finished; });
   sidecar->Drain([&] { finished = true; });
   EXPECT_EQ(Status(*client), "502");
   EXPECT_TRUE(RunUntil(io, [&] { return finished; }));
-  EXPECT_TRUE(in_time.Held());
+  EXPECT_TRUE(deadline_check.Met());
 }
 
 }  // namespace
