--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -260,7 +260,7 @@
 }
 
 // A new watch that has not sent anything yet, or a list that is still incomplete, does not end the staleness.
-void Sidecar::ReportListAge() {
+void Sidecar::ReportListStaleness() {
   const auto effective_at = discovery_.missed_changes_take_effect_at();
   if (!effective_at) return balancer_->OnListStaleness(Now(), std::nullopt);
   const auto left =
@@ -273,7 +273,7 @@
 }
 
 void Sidecar::OnDiscoveryFailed(Micros within) {
-  ReportListAge();
+  ReportListStaleness();
   if (!config_.wire.settings.must_subscribe) return;
   ListUpdate update{ListUpdate::Kind::kFailed, 0, {}};
   update.ask_within = within;
@@ -658,7 +658,7 @@
     const std::size_t processes = other_process_alive_ ? 2 : 1;
     budget_.SetMost(config_.memory_limit / kMemoryBudgetDivisor / processes);
     inbound_->KeepAtMost(ClientSockets(config_) / processes);
-    upstream_.SetIdleEvictionThreshold(UpstreamLimits(config_).max_connections / processes);
+    upstream_.SetSoftLimit(UpstreamLimits(config_).max_connections / processes);
   }
   if (view.readable) {
     for (const std::string& server : std::set<std::string>(admin_down_))
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -97,7 +97,7 @@
   void OnDiscoveryFailed(Micros within);
   void OnDiscoverySignOfLife();
   // Tells the Balancer when missed changes of the list, if any, take effect.
-  void ReportListAge();
+  void ReportListStaleness();
   void OnRequest(const Inbound::SessionPtr& session, Message<true> request);
   // The last byte of a request with a streamed body has been written: its deadline and timeout start now.
   void OnRequestWritten(const std::string& id, int number);
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -551,8 +551,8 @@
     connection->Reuse({attempt, std::move(events)}, std::move(request));
     return attempt;
   }
-  if (open_connections_ >= std::min(limits_.idle_eviction_threshold, limits_.max_connections) &&
-      !EvictIdle() && open_connections_ >= limits_.max_connections) {
+  if (open_connections_ >= std::min(limits_.soft_limit, limits_.max_connections) && !EvictIdle() &&
+      open_connections_ >= limits_.max_connections) {
     CountFailure(FailureCause::kConnectionLimit, id);
     return FailLater(std::move(events.done));
   }
@@ -611,9 +611,9 @@
   return true;
 }
 
-void Upstream::SetIdleEvictionThreshold(std::size_t connections) {
-  limits_.idle_eviction_threshold = connections;
-  while (open_connections_ > limits_.idle_eviction_threshold && EvictIdle()) continue;
+void Upstream::SetSoftLimit(std::size_t connections) {
+  limits_.soft_limit = connections;
+  while (open_connections_ > limits_.soft_limit && EvictIdle()) continue;
 }
 
 // Returns a connection to the idle ones of its server.
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -55,7 +55,7 @@
     Micros stall_timeout = 4'000'000;
     std::size_t max_connections = 512;
     // With this many connections open, an idle one is closed before a new one is opened.
-    std::size_t idle_eviction_threshold = SIZE_MAX;
+    std::size_t soft_limit = SIZE_MAX;
   };
 
   Upstream(asio::io_context& io, Limits limits, Budget& budget, Counters& counters);
@@ -76,8 +76,8 @@
   // Aborts an attempt by closing its connection; its `done` is not called any more.
   void Cancel(AttemptId attempt);
 
-  // Changes Limits::idle_eviction_threshold, and closes idle connections that are over it.
-  void SetIdleEvictionThreshold(std::size_t connections);
+  // Changes Limits::soft_limit and closes idle connections above it.
+  void SetSoftLimit(std::size_t connections);
 
   // Why an attempt ended without a valid answer; counted for the log.
   enum class FailureCause {
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -178,8 +178,8 @@
   EXPECT_EQ(two.requests(), 5);
 }
 
-// Seen in a run with server replacements: each answer that was cut off, and each expensive request,
-// ejected a healthy server for a while, up to five of nine at once, and the others were overloaded.
+// Seen in a run with server replacements: each answer that was cut off, and each expensive request, ejected a
+// healthy server for a while, up to five of nine at once, and the others were overloaded.
 TEST_F(SidecarTest, AServerThatServesOtherRequestsIsNotEjectedForOneInvalidAnswer) {
   const auto all_but_held = [](Peer& peer) {
     if (peer.received.find("Req-Id: held", peer.received.rfind("Req-Id: ")) == std::string::npos)
@@ -286,8 +286,8 @@
   EXPECT_LT(stalled.requests() - before - held, 10);
 }
 
-// Seen in a long run: requests that no server answered caused more than half of all requests to be
-// refused while servers were idle.
+// Seen in a long run: requests that no server answered caused more than half of all requests to be refused
+// while servers were idle.
 TEST_F(SidecarTest, UnansweredRequestsAreNoOverloadSignalWhileFewAreInFlight) {
   std::vector<Peer*> waiting;
   bool answers = true;
@@ -668,9 +668,9 @@
 TEST_F(AdminDownTest, AnAdministrativelyDownServerGetsNothingWhateverDiscoverySays) {
   ScriptedServer down(io, Serves("ok"));
   ScriptedServer other(io, Serves("ok"));
-  std::vector<nlohmann::json> both = {Entry("s1", down.address)};
-  for (int i = 2; i < 9; ++i) both.push_back(Entry("s" + std::to_string(i), other.address));
-  StartWith(both);
+  std::vector<nlohmann::json> servers = {Entry("s1", down.address)};
+  for (int i = 2; i < 9; ++i) servers.push_back(Entry("s" + std::to_string(i), other.address));
+  StartWith(servers);
   AskMany(30);
   EXPECT_GT(down.requests(), 0);
   const int before = down.requests();
@@ -678,13 +678,13 @@
   EXPECT_EQ(PostManagement("down/s1"), "200");
   EXPECT_EQ(SkippedServers(), 1);
   AskMany(10);
-  Tell(List(2, true, both));
+  Tell(List(2, true, servers));
   AskMany(10);
   Tell(List(3, false, {Entry("s1", down.address, "removed")}));
   Tell(List(4, false, {Entry("s1", down.address, "up", 1000)}));
   AskMany(10);
   EXPECT_EQ(down.requests(), before);
-  StartWith(both);  // as after a restart
+  StartWith(servers);  // as after a restart
   AskMany(10);
   EXPECT_EQ(down.requests(), before);
   EXPECT_EQ(PostManagement("up/s1"), "200");
--- a/tests/net/upstream_test.cpp
+++ b/tests/net/upstream_test.cpp
@@ -38,7 +38,7 @@
   Result SendAndWait(const std::string& id = "s1", std::size_t body = 0) {
     const std::size_t before = answers.size();
     Send(id, body);
-    EXPECT_EQ(answers.size(), before) << "the module was called from inside its sink";
+    EXPECT_EQ(answers.size(), before) << "the Balancer was called from inside its ActionSink";
     EXPECT_TRUE(RunUntil(io, [&] { return answers.size() > before; }));
     return answers.size() > before ? answers.back().result : Result::kNeverSent;
   }
