--- a/src/net/body.hpp
+++ b/src/net/body.hpp
@@ -1,5 +1,6 @@
-// Bodies on their way: held whole as long as they are small, else passed on piece by piece, each asked for
-// when the one before it has gone, so that a slow reader slows its writer and nothing piles up between them.
+// Message bodies in transit. Small ones are buffered completely. Larger ones are streamed in chunks: the next
+// chunk is read only after the previous one has been written, so a slow receiver slows down the sender
+// (backpressure) and no data accumulates in between.
 #ifndef MERLINRUN_NET_BODY_HPP_
 #define MERLINRUN_NET_BODY_HPP_
 
@@ -19,41 +20,44 @@
 
 namespace merlinrun::net {
 
-// What is still to come of a body.
+// A source from which the part of a body that has not arrived yet is read.
 class BodySource {
  public:
+  // Receives the number of bytes read and whether they are the last of the body.
   using Taken = std::function<void(ErrorCode, std::size_t, bool last)>;
   virtual ~BodySource() = default;
-  // Brings some more of it, one call at a time. Nothing follows the last piece, which may be empty. `taken`
-  // is called once, from the loop and never from in here, unless it is stopped first; `into` must live until
-  // then.
+  // Reads the next chunk into `into`. The last chunk may be empty. `taken` is called exactly once, from the
+  // event loop and never before ReadSome returns, unless Stop comes first; `into` must stay valid until then.
+  // Only one read may be pending.
   virtual void ReadSome(asio::mutable_buffer into, Taken taken) = 0;
-  // No more of it is wanted.
+  // Discards the rest of the body; a pending read is not called back.
   virtual void Stop() = 0;
 };
 using BodyPtr = std::shared_ptr<BodySource>;
 using HeldBody = std::shared_ptr<const std::string>;
 
-// A message whose body is held, or begins with what is held and goes on.
+// A message whose body is buffered completely, or whose buffered beginning is followed by chunks of a source.
 template <bool kRequest>
 struct Message {
-  http::header<kRequest> head;                         // without framing, which follows from the rest
-  HeldBody held;                                       // null if nothing of it is
-  BodyPtr rest;                                        // null if `held` is all
-  std::optional<std::uint64_t> length = std::nullopt;  // of the whole body, if it is told
+  http::header<kRequest> head;                         // without framing, which the writer adds
+  HeldBody held;                                       // the buffered beginning; null if there is none
+  BodyPtr rest;                                        // source of what follows; null if `held` is all
+  std::optional<std::uint64_t> length = std::nullopt;  // of the complete body, if it is known
 };
 
-// How a body whose length is not told is framed.
+// Framing of a body whose length is unknown.
 enum class Unframed { kChunked, kUntilClose };
 
-// Writes one message. Its owner keeps it until `done`, or stops it and lets go; what is in flight then still
-// finds it, and the owner of its socket, alive.
+// Writes one message to a socket. The creator keeps the writer until `done` is called, or calls Stop before
+// it releases it. Pending operations hold a reference to the writer, and through it to the owner of the
+// socket.
 template <bool kRequest>
 class MessageWriter : public std::enable_shared_from_this<MessageWriter<kRequest>> {
  public:
   struct Events {
-    std::function<void()> drawn = nullptr;     // what is not held is being asked for, for the first time
-    std::function<void()> progress = nullptr;  // a piece has come or has been written
+    std::function<void()> drawn = nullptr;     // before the first read from the source
+    std::function<void()> progress = nullptr;  // a chunk has been read or written
+    // The message has been written, or writing failed; `source_failed` tells a failure to read the body.
     std::function<void(ErrorCode, bool source_failed)> done;
   };
 
@@ -61,38 +65,40 @@
                 Unframed unframed, Events events)
       : owner_(std::move(owner)),
         socket_(socket),
-        held_(std::move(message.held)),
-        rest_(std::move(message.rest)),
+        buffered_(std::move(message.held)),
+        remaining_(std::move(message.rest)),
         events_(std::move(events)),
         message_(std::move(message.head)),
         serializer_(message_) {
-    if (rest_ == nullptr) message.length = message.length.value_or(held_ == nullptr ? 0 : held_->size());
+    if (remaining_ == nullptr)
+      message.length = message.length.value_or(buffered_ == nullptr ? 0 : buffered_->size());
     if (message.length) {
       message_.content_length(*message.length);
     } else if (unframed == Unframed::kChunked) {
       message_.chunked(true);
     }
     message_.keep_alive(keep_alive);
-    Set(held_ == nullptr ? asio::const_buffer() : asio::buffer(*held_), rest_ != nullptr);
+    SetChunk(buffered_ == nullptr ? asio::const_buffer() : asio::buffer(*buffered_), remaining_ != nullptr);
   }
 
   void Start() { Write(); }
 
-  // Nothing is called back any more.
+  // Stops the body's source. No event is called any more.
   void Stop() {
     events_ = {};
-    if (rest_ != nullptr) std::exchange(rest_, nullptr)->Stop();
+    if (remaining_ != nullptr) std::exchange(remaining_, nullptr)->Stop();
   }
 
-  // It waits for the source, and for nobody who reads.
-  bool drawing() const { return drawing_; }
+  // Whether the writer waits for the source, and not for the receiver.
+  bool drawing() const { return waiting_for_source_; }
 
  private:
-  void Set(asio::const_buffer piece, bool more) {
+  // Passes the next chunk of the body to the serializer.
+  void SetChunk(asio::const_buffer chunk, bool more) {
     auto& body = message_.body();
-    // The serializer asks for pieces and never writes to them; its interface is the parser's.
-    body.data = piece.size() == 0 ? nullptr : const_cast<void*>(piece.data());
-    body.size = piece.size();
+    // The serializer only reads the buffer; the pointer is not const because parsers share the body type.
+    body.data = chunk.size() == 0 ? nullptr : const_cast<void*>(chunk.data());
+    body.size = chunk.size();
     body.more = more;
   }
 
@@ -106,50 +112,52 @@
     if (!events_.done) return;
     if (error || serializer_.is_done()) return End(error, /*source_failed=*/false);
     if (events_.progress) events_.progress();
-    if (piece_ == nullptr) {
-      piece_ = std::make_unique<std::array<char, kPiece>>();
-      held_.reset();
+    if (chunk_ == nullptr) {
+      chunk_ = std::make_unique<std::array<char, kPiece>>();
+      buffered_.reset();
       if (events_.drawn) std::exchange(events_.drawn, nullptr)();
-      if (!events_.done) return;  // stopped by whom it was told
+      if (!events_.done) return;  // the callback has called Stop
     }
-    drawing_ = true;
-    rest_->ReadSome(asio::buffer(*piece_),
-                    [self = this->shared_from_this()](ErrorCode failed, std::size_t n, bool last) {
-                      self->OnPiece(failed, n, last);
-                    });
+    waiting_for_source_ = true;
+    remaining_->ReadSome(asio::buffer(*chunk_),
+                         [self = this->shared_from_this()](ErrorCode failed, std::size_t n, bool last) {
+                           self->OnChunk(failed, n, last);
+                         });
   }
 
-  // The last piece is written as such: whoever reads it may answer before anything more could be asked for.
-  void OnPiece(ErrorCode error, std::size_t n, bool last) {
-    drawing_ = false;
+  // Writes the end of the body together with the last chunk: the receiver may answer at once, before another
+  // read from the source could report the end.
+  void OnChunk(ErrorCode error, std::size_t n, bool last) {
+    waiting_for_source_ = false;
     if (!events_.done) return;
     if (error) return End(error, /*source_failed=*/true);
     if (events_.progress) events_.progress();
-    if (last) rest_.reset();
-    Set(asio::buffer(*piece_, n), !last);
+    if (last) remaining_.reset();
+    SetChunk(asio::buffer(*chunk_, n), !last);
     Write();
   }
 
   void End(ErrorCode error, bool source_failed) {
     const auto self = this->shared_from_this();
     const Events events = std::exchange(events_, {});
-    if (rest_ != nullptr) std::exchange(rest_, nullptr)->Stop();
+    if (remaining_ != nullptr) std::exchange(remaining_, nullptr)->Stop();
     events.done(error, source_failed);
   }
 
   const std::shared_ptr<void> owner_;
   Tcp::socket& socket_;
-  HeldBody held_;
-  BodyPtr rest_;
+  HeldBody buffered_;
+  BodyPtr remaining_;
   Events events_;
   http::message<kRequest, http::buffer_body> message_;
   http::serializer<kRequest, http::buffer_body> serializer_;
-  std::unique_ptr<std::array<char, kPiece>> piece_;
-  bool drawing_ = false;
+  std::unique_ptr<std::array<char, kPiece>> chunk_;
+  bool waiting_for_source_ = false;
 };
 
-// Feeds a parser what has come, body bytes to `into`; what is not yet parsed stays in `buffer`. Stops at the
-// end of a header, where it is to be looked at, and when `into` is full. Returns how much of it is filled.
+// Feeds the content of `buffer` to a parser and writes body bytes to `into`; unparsed input stays in
+// `buffer`. Returns at the end of the header, so that the caller can check it, and when `into` is full. The
+// result is the number of bytes written to `into`.
 template <typename Parser, typename Buffer>
 std::size_t Feed(Parser& parser, Buffer& buffer, asio::mutable_buffer into, ErrorCode& error) {
   auto& body = parser.get().body();
--- a/src/net/budget.hpp
+++ b/src/net/budget.hpp
@@ -1,4 +1,4 @@
-// One total for what requests and answers hold in memory, over all connections.
+// A limit on the memory that buffered requests and answers take, over all connections together.
 #ifndef MERLINRUN_NET_BUDGET_HPP_
 #define MERLINRUN_NET_BUDGET_HPP_
 
@@ -7,23 +7,24 @@
 
 namespace merlinrun::net {
 
-// The total. It must outlive its charges.
+// The memory limit and how much of it is reserved. It must outlive its reservations.
 class Budget {
  public:
-  explicit Budget(std::size_t most) : most_(most) {}
+  explicit Budget(std::size_t limit) : limit_(limit) {}
   Budget(const Budget&) = delete;
   Budget& operator=(const Budget&) = delete;
-  std::size_t held() const { return held_; }
-  // What is held beyond a lower total is kept until it is given back.
-  void SetMost(std::size_t most) { most_ = most; }
+  // Bytes that are reserved at present.
+  std::size_t held() const { return reserved_; }
+  // Changes the limit. Existing reservations stay valid even if they exceed a lower limit.
+  void SetMost(std::size_t limit) { limit_ = limit; }
 
  private:
   friend class Charge;
-  std::size_t most_;
-  std::size_t held_ = 0;
+  std::size_t limit_;
+  std::size_t reserved_ = 0;
 };
 
-// What one holder has taken of the total; given back with it.
+// A reservation of part of the memory limit, released by its destructor. Movable, not copyable.
 class Charge {
  public:
   Charge() = default;
@@ -36,15 +37,16 @@
     return *this;
   }
   ~Charge() {
-    if (budget_ != nullptr) budget_->held_ -= size_;
+    if (budget_ != nullptr) budget_->reserved_ -= size_;
   }
 
-  // False if the total does not have so much left; nothing is taken then.
+  // Releases what this reservation holds and reserves `size` bytes. Returns false, with nothing reserved, if
+  // the limit leaves less than that.
   bool Take(Budget& budget, std::size_t size) {
     *this = Charge();
-    if (budget.held_ > budget.most_ || size > budget.most_ - budget.held_) return false;
+    if (budget.reserved_ > budget.limit_ || size > budget.limit_ - budget.reserved_) return false;
     budget_ = &budget;
-    budget_->held_ += size_ = size;
+    budget_->reserved_ += size_ = size;
     return true;
   }
 
--- a/src/net/counters.hpp
+++ b/src/net/counters.hpp
@@ -1,5 +1,5 @@
-// What became of the requests of each class, counted in one place from the start of the process. The figures
-// for operators and the log read the same numbers.
+// Counts requests by class and final status since the start of the process. The statistics of the management
+// endpoint and the log read the same counters.
 #ifndef MERLINRUN_NET_COUNTERS_HPP_
 #define MERLINRUN_NET_COUNTERS_HPP_
 
@@ -11,20 +11,22 @@
 
 class Counters {
  public:
+  // How a request ended.
   enum class End { kServed, kRefused, kFailed, kClientGone };
+  // The counters of one request class.
   struct Class {
     std::uint64_t taken = 0;
     std::uint64_t served = 0;
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
-    std::uint64_t gone = 0;  // the client left before its answer
+    std::uint64_t gone = 0;  // the client disconnected before it had its answer
 
     std::uint64_t ended() const { return served + refused + failed + gone; }
   };
 
   explicit Counters(std::size_t classes) : classes_(classes) {}
 
-  // A request of a known class; each one ends once.
+  // Counts a new request of a known class. Finish must follow exactly once.
   void Take(std::size_t request_class) {
     ++classes_[request_class].taken;
     ++open_;
@@ -47,12 +49,14 @@
         return;
     }
   }
-  // An attempt whose last byte has been written to a server.
+  // Counts an attempt whose request has been written to a server completely.
   void CountAttempt() { ++attempts_; }
 
   const std::vector<Class>& classes() const { return classes_; }
   std::uint64_t attempts() const { return attempts_; }
-  std::size_t open() const { return open_; }  // requests taken and not ended
+  // Requests that have started and not finished.
+  std::size_t open() const { return open_; }
+  // Requests of all classes since the start of the process.
   std::uint64_t taken() const {
     std::uint64_t sum = 0;
     for (const Class& counts : classes_) sum += counts.taken;
--- a/src/net/idle.hpp
+++ b/src/net/idle.hpp
@@ -1,5 +1,4 @@
-// How long a connection may have stood idle and still be used again, learnt from what becomes of those that
-// are.
+// Learns from the outcome of reused connections how long one may have been idle and still be reused.
 #ifndef MERLINRUN_NET_IDLE_HPP_
 #define MERLINRUN_NET_IDLE_HPP_
 
@@ -11,57 +10,62 @@
 
 namespace merlinrun::net {
 
-// What lies between a sidecar and a server may forget an idle connection long before the server's own limit,
-// and tells nobody: the next request on it is reset. Such requests are lost for nothing, and those that may
-// not run twice are lost for good. Guards against reusing what has idled too long, by the share of reused
-// connections that broke before any of their answer, over that of fresh ones.
+// A middlebox such as a NAT or a firewall may silently drop the state of an idle connection long before the
+// server's own idle timeout: the next request on that connection is reset. The request is lost, and cannot be
+// retried at all if it must not run twice. For each range of idle times this class compares how often
+// connections that had been idle so long broke before the first byte of the answer with how often new ones
+// did. Once the difference reaches kMaxExcessLoss it stops the reuse of connections with that idle time or
+// more, for kLimitDuration.
 class IdleLimit {
  public:
-  // A request on a connection that had stood idle so long (0 = a fresh one) was answered, or `lost` without
-  // a byte.
+  // Records the outcome of a request on a connection that had been idle for `idle` before it (0 = a new
+  // connection). `lost` means that the connection broke before the first byte of the answer.
   void Count(Micros idle, bool lost, Micros now) {
-    if (now >= until_) Forget();
-    const double seen = lost ? 1 : 0;
-    if (idle <= 0) return Average(fresh_, seen);
+    if (now >= limit_until_) LiftLimit();
+    const double sample = lost ? 1 : 0;
+    if (idle <= 0) return Average(fresh_loss_, sample);
     const std::size_t step = StepOf(idle);
-    Average(reused_[step], seen);
-    if (reused_[step] - fresh_ < kTooMany || Least(step) >= limit_) return;
-    limit_ = Least(step);
-    until_ = now + kFor;
+    Average(reused_loss_[step], sample);
+    if (reused_loss_[step] - fresh_loss_ < kMaxExcessLoss || MinIdle(step) >= limit_) return;
+    limit_ = MinIdle(step);
+    limit_until_ = now + kLimitDuration;
   }
 
-  bool Allows(Micros idle, Micros now) const { return now >= until_ || idle < limit_; }
+  // Whether a connection that has been idle for `idle` may be reused.
+  bool Allows(Micros idle, Micros now) const { return now >= limit_until_ || idle < limit_; }
 
  private:
-  static constexpr std::size_t kSteps = 12;  // up to 25 ms, 50 ms, ... 51 s, and beyond
-  static constexpr Micros kLeast = 25'000;
+  static constexpr std::size_t kSteps = 12;  // idle up to 25 ms, 50 ms, ... 51 s, and one range beyond
+  static constexpr Micros kFirstStep = 25'000;
   static constexpr Micros kUnlimited = Micros{1} << 60;
-  // Uses over which a share is averaged, and how far over that of fresh connections is too many. At this
-  // memory chance takes healthy connections there now and then, which costs a few handshakes.
-  static constexpr double kMemory = 32;
-  static constexpr double kTooMany = 0.2;
-  // Then it is tried again whether the limit still holds.
-  static constexpr Micros kFor = 60'000'000;
+  // Number of uses that the moving average of a loss rate spans. With so few, healthy connections reach
+  // kMaxExcessLoss by chance now and then, which costs a few handshakes.
+  static constexpr double kAveragedUses = 32;
+  // Loss rate above that of new connections from which on reuse stops.
+  static constexpr double kMaxExcessLoss = 0.2;
+  // How long a limit lasts before reuse is tried again.
+  static constexpr Micros kLimitDuration = 60'000'000;
 
-  static void Average(double& share, double seen) { share += (seen - share) / kMemory; }
-  static Micros Least(std::size_t step) { return step == 0 ? 0 : kLeast << (step - 1); }
+  static void Average(double& rate, double sample) { rate += (sample - rate) / kAveragedUses; }
+  // The shortest idle time of a step.
+  static Micros MinIdle(std::size_t step) { return step == 0 ? 0 : kFirstStep << (step - 1); }
 
   static std::size_t StepOf(Micros idle) {
     std::size_t step = 0;
-    while (step < kSteps && idle >= Least(step + 1)) ++step;
+    while (step < kSteps && idle >= MinIdle(step + 1)) ++step;
     return step;
   }
 
-  void Forget() {
+  void LiftLimit() {
     if (limit_ == kUnlimited) return;
     limit_ = kUnlimited;
-    reused_ = {};
+    reused_loss_ = {};
   }
 
-  std::array<double, kSteps + 1> reused_{};  // share lost of what had idled Least(i) or more, under the next
-  double fresh_ = 0;
-  Micros limit_ = kUnlimited;
-  Micros until_ = 0;
+  std::array<double, kSteps + 1> reused_loss_{};  // loss rate by idle time: MinIdle(i) up to MinIdle(i + 1)
+  double fresh_loss_ = 0;                         // loss rate of new connections
+  Micros limit_ = kUnlimited;  // connections that have been idle so long are not reused ...
+  Micros limit_until_ = 0;     // ... until then
 };
 
 }  // namespace merlinrun::net
--- a/src/net/protocol.hpp
+++ b/src/net/protocol.hpp
@@ -1,4 +1,5 @@
-// The names that the protocol fixes, and the message types that its parts share.
+// Header names, paths and size limits of the HTTP protocol between application, sidecar and servers, with the
+// aliases that the whole network code uses.
 #ifndef MERLINRUN_NET_PROTOCOL_HPP_
 #define MERLINRUN_NET_PROTOCOL_HPP_
 
@@ -18,17 +19,20 @@
 using ErrorCode = boost::system::error_code;
 using HttpResponse = http::response<http::string_body>;
 
+// Maximum length of a message body.
 inline constexpr std::size_t kMostBody = std::size_t{32} << 20;
-// A body is held whole up to here: a request can be sent again then, and a small answer is passed on only
-// when it is known to be whole. What is larger is passed on in pieces.
+// Bodies up to this length are buffered completely: such a request can be retried, and such an answer is
+// forwarded only after all of it has arrived. Larger bodies are streamed in chunks.
 inline constexpr std::size_t kMostHeld = std::size_t{64} * 1024;
+// Maximum length of one chunk of a streamed body.
 inline constexpr std::size_t kPiece = std::size_t{16} * 1024;
-// What passing a body on in pieces takes beside what is held of it: a piece and one read, with their
-// overhead.
+// Memory that streaming a body takes in addition to its buffered beginning: one chunk and one read, with
+// their overhead.
 inline constexpr std::size_t kStreamCost = 3 * kPiece;
+// Maximum length of a message header.
 inline constexpr std::size_t kMostHeader = std::size_t{8} * 1024;
 inline constexpr std::size_t kReadSize = std::size_t{8} * 1024;
-// What a connection holds unparsed: one header and one read.
+// Maximum of unparsed input that a connection buffers: one header and one read.
 inline constexpr std::size_t kMostUnparsed = kMostHeader + kPiece;
 
 inline constexpr const char* kIdHeader = "Req-Id";
@@ -39,7 +43,8 @@
 inline constexpr const char* kCostHeader = "Req-Cost";
 inline constexpr const char* kExtraHeader = "Req-Extra";
 inline constexpr const char* kIdempotencyHeader = "Idempotency-Key";
-// What a request brings that the protocol names: passed on, and never more than once in a request.
+// The request headers that the protocol defines. They are forwarded to the server; a request with one of them
+// more than once is rejected.
 inline constexpr const char* kRequestHeaders[] = {"Host",        kIdHeader,       kClassHeader,
                                                   kTenantHeader, kDeadlineHeader, kRepeatHeader,
                                                   kCostHeader,   kExtraHeader,    kIdempotencyHeader};
@@ -48,7 +53,7 @@
 inline constexpr const char* kKeyParameter = "obj";
 inline constexpr const char* kReadyPath = "/ready";
 
-// An answer of the sidecar's own.
+// Returns an HTTP/1.1 text/plain response that the sidecar generates itself.
 inline HttpResponse Plain(http::status status, std::string text) {
   HttpResponse response(status, 11);
   response.set(http::field::content_type, "text/plain");
--- a/tests/net/idle_test.cpp
+++ b/tests/net/idle_test.cpp
@@ -1,4 +1,4 @@
-// How long an idle connection is trusted.
+// The limit on the idle time of reused connections.
 #include "net/idle.hpp"
 
 #include <gtest/gtest.h>
@@ -9,13 +9,13 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1000 * kMs;
 
-TEST(IdleLimit, AllowsAllUntilRequestsAreLost) {
+TEST(IdleLimit, AllowsAnyIdleTimeWhileNoRequestIsLost) {
   IdleLimit limit;
   for (int i = 0; i < 1000; ++i) limit.Count(40 * kSecond, /*lost=*/false, i);
   EXPECT_TRUE(limit.Allows(40 * kSecond, 1000));
 }
 
-TEST(IdleLimit, FindsTheIdleTimeFromWhichOnRequestsAreLost) {
+TEST(IdleLimit, LearnsFromWhichIdleTimeOnRequestsAreLost) {
   IdleLimit limit;
   for (int i = 0; i < 400; ++i) {
     limit.Count(30 * kMs, /*lost=*/false, i);
@@ -26,7 +26,7 @@
   EXPECT_TRUE(limit.Allows(60 * kMs, 400));
 }
 
-TEST(IdleLimit, IsNotMovedByLossesThatFreshConnectionsHaveToo) {
+TEST(IdleLimit, IgnoresLossesThatNewConnectionsHaveToo) {
   IdleLimit limit;
   for (int i = 0; i < 400; ++i) {
     limit.Count(0, /*lost=*/i % 3 == 0, i);
@@ -35,7 +35,7 @@
   EXPECT_TRUE(limit.Allows(300 * kMs, 400));
 }
 
-TEST(IdleLimit, IsTriedAgainAfterAWhile) {
+TEST(IdleLimit, AllowsLongIdleTimesAgainAfterAMinute) {
   IdleLimit limit;
   for (int i = 0; i < 100; ++i) limit.Count(300 * kMs, /*lost=*/true, 0);
   EXPECT_FALSE(limit.Allows(300 * kMs, 59 * kSecond));
