--- a/src/net/inbound.cpp
+++ b/src/net/inbound.cpp
@@ -20,138 +20,151 @@
 
 using Clock = std::chrono::steady_clock;
 
-// How long accepting rests when descriptors have run out: guards against a loop that spins on EMFILE.
+// Pause before the next accept after an error such as EMFILE; without it accepting would fail in a
+// in_progress loop.
 constexpr auto kAcceptPause = std::chrono::milliseconds(50);
-// What is still read of a client whose connection is being closed: closing it with input unread would reset
-// it, and the answer might be lost with that. One that sends more has had its time.
-constexpr std::size_t kMostLingering = std::size_t{256} * 1024;
-// Connections over the limit that are held at once to be told so.
-constexpr std::size_t kMostTurnedAway = 8;
-
-struct Incoming {
-  Incoming() {
-    parser.eager(false);  // the header alone: it is checked before the body begins
+// Maximum number of bytes that are read and discarded from a client whose connection is being closed. Closing
+// a socket with unread input resets the connection, and the client might lose its answer. Beyond this number
+// the connection is closed all the same.
+constexpr std::size_t kMaxLingeringBytes = std::size_t{256} * 1024;
+// Maximum number of connections above the limit that are open at once to be answered with 503.
+constexpr std::size_t kMaxRejectedSessions = 8;
+
+// A request that is being read.
+struct IncomingRequest {
+  IncomingRequest() {
+    parser.eager(false);  // stop after the header, which is checked before any of the body is parsed
     parser.header_limit(kMostHeader);
     parser.body_limit(kMostBody);
   }
 
   http::request_parser<http::buffer_body> parser;
-  std::string held;          // of the body
-  std::size_t received = 0;  // of the body
-  bool begun = false;
+  std::string buffered_body;
+  std::size_t body_received = 0;  // bytes of the body, buffered or streamed
+  bool started = false;           // some of the request has been parsed
 };
 
 }  // namespace
 
-// Is the source of its request's body too, while that is still coming in.
+// A client's connection. It is also the source of its request's body while that is still arriving.
 class Inbound::Session : public BodySource, public std::enable_shared_from_this<Session> {
  public:
   Session(Inbound& owner, Tcp::socket socket)
-      : owner_(owner), socket_(std::move(socket)), since_(Clock::now()) {
-    parser_.emplace();
+      : owner_(owner), socket_(std::move(socket)), timeout_start_(Clock::now()) {
+    incoming_.emplace();
   }
 
+  // Starts to read requests.
   void Start() { Read(); }
 
-  // One connection too many.
-  void TurnAway() {
+  // Answers with 503 because there are too many connections.
+  void RejectOverLimit() {
     Reject({http::status::service_unavailable, "too many connections\n"});
     Read();
   }
 
-  // Between requests, with nothing of the next one waiting to be read: closing it loses nothing.
+  // Whether the connection is between requests and no byte of the next one has arrived, so that closing it
+  // loses no request.
   bool Idle() const {
     ErrorCode error;
-    return state_ == State::kReading && buffer_.size() == 0 && !parser_->begun &&
+    return state_ == State::kReading && buffer_.size() == 0 && !incoming_->started &&
            socket_.available(error) == 0;
   }
-  bool Silent() const { return fresh_ && Idle(); }
+  // Idle since it was accepted.
+  bool Unused() const { return fresh_ && Idle(); }
   bool Lingering() const { return state_ == State::kLingering; }
-  bool For(Clock::time_point now, Micros time) const {
-    return now - since_ >= std::chrono::microseconds(time);
+  // Whether a timeout of this length has passed in the current state.
+  bool TimedOut(Clock::time_point now, Micros timeout) const {
+    return now - timeout_start_ >= std::chrono::microseconds(timeout);
   }
 
+  // See Inbound::Respond and Inbound::Reject.
   void Respond(Reply reply) {
-    if (state_ != State::kBusy) {
+    if (state_ != State::kInProgress) {
       if (reply.message.rest != nullptr) reply.message.rest->Stop();
       if (reply.done) reply.done(Sent::kClientGone);
       return;
     }
-    Become(State::kWriting);
-    // What is still coming of the request is not wanted any more.
-    const bool unread = std::exchange(uploading_, false);
-    most_lingering_ = unread ? kMostBody : kMostLingering;
-    const Unframed unframed = version_ < 11 ? Unframed::kUntilClose : Unframed::kChunked;
-    const bool told = reply.message.rest == nullptr || reply.message.length || unframed == Unframed::kChunked;
-    keep_alive_ = keep_alive_ && !owner_.draining_ && !unread && told;
+    EnterState(State::kWriting);
+    // Whatever has not arrived of the request's body is discarded from now on.
+    const bool body_unread = std::exchange(body_pending_, false);
+    max_lingering_bytes_ = body_unread ? kMostBody : kMaxLingeringBytes;
+    const Unframed framing = version_ < 11 ? Unframed::kUntilClose : Unframed::kChunked;
+    const bool delimited =
+        reply.message.rest == nullptr || reply.message.length || framing == Unframed::kChunked;
+    keep_alive_ = keep_alive_ && !owner_.draining_ && !body_unread && delimited;
     reply.message.head.version(11);
     if (head_only_ && !reply.message.length)
       reply.message.length = reply.message.held == nullptr ? 0 : reply.message.held->size();
     if (head_only_) reply.message.held = nullptr;
     done_ = std::move(reply.done);
-    answer_charge_ = std::move(reply.charge);
-    streams_ = reply.message.rest != nullptr;
+    answer_memory_ = std::move(reply.charge);
+    streams_answer_ = reply.message.rest != nullptr;
     MessageWriter<false>::Events events;
-    if (streams_) events.progress = [this] { since_ = Clock::now(); };
+    if (streams_answer_) events.progress = [this] { timeout_start_ = Clock::now(); };
     events.done = [this](ErrorCode error, bool source_failed) { OnWritten(error, source_failed); };
     writer_ = std::make_shared<MessageWriter<false>>(shared_from_this(), socket_, std::move(reply.message),
-                                                     keep_alive_, unframed, std::move(events));
+                                                     keep_alive_, framing, std::move(events));
     writer_->Start();
   }
 
   void Reject(const Rejection& rejection) {
-    if (state_ != State::kBusy && state_ != State::kReading) return;
-    state_ = State::kBusy;
+    if (state_ != State::kInProgress && state_ != State::kReading) return;
+    state_ = State::kInProgress;
     keep_alive_ = false;
     HttpResponse response = Plain(rejection.status, rejection.text);
-    // What has no room now may have in a moment.
+    // The lack of connections or memory may end soon.
     if (rejection.status == http::status::service_unavailable) response.set(http::field::retry_after, "0.2");
     if (rejection.status == http::status::method_not_allowed && rejection.allow != nullptr)
       response.set(http::field::allow, rejection.allow);
     Respond(Whole(std::move(response)));
   }
 
-  // The client has closed its connection, though what it sent before that may still have to be read.
-  bool Left() const {
-    pollfd look{const_cast<Tcp::socket&>(socket_).native_handle(), POLLRDHUP, 0};
-    return state_ == State::kBusy && ::poll(&look, 1, /*timeout=*/0) == 1 &&
-           (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  // Whether the client has closed or reset its connection while its request is in progress. Input that it
+  // sent before that may still be unread.
+  bool PeerClosed() const {
+    pollfd fd{const_cast<Tcp::socket&>(socket_).native_handle(), POLLRDHUP, 0};
+    return state_ == State::kInProgress && ::poll(&fd, 1, /*timeout=*/0) == 1 &&
+           (fd.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   }
 
-  // Tells the owner of a client that has left, in a turn of its own.
-  void LeaveLater() {
+  // Reports a disconnected client to the owner from a separate handler of the event loop.
+  void ReportDisconnectLater() {
     asio::post(owner_.io_, [self = shared_from_this()] {
-      if (self->Left()) self->OnGone();
+      if (self->PeerClosed()) self->OnDisconnect();
     });
   }
 
-  // Ends what has had its time. Guards against connections that say nothing, half a request or do not read:
-  // they would hold their places until none is left for the others.
-  void Expire(Clock::time_point now) {
+  // Closes the connection or rejects the request if the timeout of its state has passed. Otherwise clients
+  // that send nothing, send only part of a request or do not read their answer could take all connections.
+  void EnforceTimeouts(Clock::time_point now) {
     const Limits& limits = owner_.limits_;
     switch (state_) {
       case State::kReading:
-        if (parser_->begun) {
-          if (For(now, limits.request + BodyTime())) Reject(TooSlow());
-        } else if (For(now, fresh_ ? limits.request : limits.idle) && Idle()) {
+        if (incoming_->started) {
+          if (TimedOut(now, limits.request + BodyAllowance())) Reject(RequestTimeout());
+        } else if (TimedOut(now, fresh_ ? limits.request : limits.idle_timeout) && Idle()) {
           Close();
         }
         return;
-      case State::kBusy:  // it is the sidecar's turn, unless more of the body is waited for
-        if (Left()) return OnGone();
-        if (taken_ && For(now, limits.request + BodyTime())) FailUpload(TooSlow());
+      case State::kInProgress:  // no timeout here, unless the client owes more of the body
+        if (PeerClosed()) return OnDisconnect();
+        if (on_chunk_ && TimedOut(now, limits.request + BodyAllowance())) AbortUpload(RequestTimeout());
         return;
       case State::kWriting:
-        if (!(streams_ && writer_ != nullptr && writer_->drawing()) && For(now, limits.answer)) Close();
+        if (!(streams_answer_ && writer_ != nullptr && writer_->drawing()) &&
+            TimedOut(now, limits.answer_timeout))
+          Close();
         return;
       case State::kLingering:
-        if (For(now, limits.linger)) Close();
+        if (TimedOut(now, limits.linger_timeout)) Close();
         return;
       case State::kClosed:
         return;
     }
   }
 
+  // Closes the connection and removes the session from the owner's list.
   void Close() {
     if (state_ == State::kClosed) return;
     Abandon();
@@ -159,54 +172,56 @@
     if (done_) std::exchange(done_, nullptr)(Sent::kClientGone);
   }
 
-  // Closes without a word to the owner, which is going: what is still to be called back finds it closed.
+  // Closes without reporting to the owner, which is being destroyed. Pending handlers find the session
+  // closed.
   void Abandon() {
     state_ = State::kClosed;
-    charge_ = {};
-    answer_charge_ = {};
-    taken_ = nullptr;
+    request_memory_ = {};
+    answer_memory_ = {};
+    on_chunk_ = nullptr;
     if (writer_ != nullptr) std::exchange(writer_, nullptr)->Stop();
     ErrorCode ignored;
     socket_.close(ignored);
   }
 
-  // ---- What is still coming of the request's body ----
+  // ---- BodySource: the part of the request's body that has not arrived yet ----
 
-  void ReadSome(asio::mutable_buffer into, Taken taken) override {
-    // The time that the other side took to pass the last piece on is not the client's.
-    since_ += Clock::now() - given_at_;
-    into_ = into;
-    taken_ = std::move(taken);
-    asio::post(owner_.io_, [self = shared_from_this()] { self->Supply(); });
+  void ReadSome(asio::mutable_buffer into, Taken on_chunk) override {
+    // The time that the receiver took to write the previous chunk doesn't count against the client.
+    timeout_start_ += Clock::now() - chunk_passed_at_;
+    chunk_buffer_ = into;
+    on_chunk_ = std::move(on_chunk);
+    asio::post(owner_.io_, [self = shared_from_this()] { self->SupplyBody(); });
   }
 
-  void Stop() override { taken_ = nullptr; }
+  void Stop() override { on_chunk_ = nullptr; }
 
-  std::list<SessionPtr>::iterator place;
+  std::list<SessionPtr>::iterator position;  // in the owner's list
 
  private:
-  enum class State { kReading, kBusy, kWriting, kLingering, kClosed };
+  enum class State { kReading, kInProgress, kWriting, kLingering, kClosed };
 
-  static Rejection TooSlow() { return {http::status::request_timeout, "the request took too long\n"}; }
+  static Rejection RequestTimeout() { return {http::status::request_timeout, "the request took too long\n"}; }
 
-  // The time that so much of a body may take.
-  Micros BodyTime() const {
-    return static_cast<Micros>(parser_->received) * 1'000'000 / static_cast<Micros>(owner_.limits_.body_rate);
+  // The time allowed for the bytes of the body that have arrived, at the minimum rate.
+  Micros BodyAllowance() const {
+    return static_cast<Micros>(incoming_->body_received) * 1'000'000 /
+           static_cast<Micros>(owner_.limits_.min_body_rate);
   }
 
-  void Become(State state) {
+  void EnterState(State state) {
     state_ = state;
-    since_ = Clock::now();
+    timeout_start_ = Clock::now();
   }
 
-  // Waits for input while a request is held too, so that a client that leaves is noticed, and takes what
-  // comes behind that request, or of a body that is not asked for, as far as there is room. Beyond that more
-  // would only be kept, and whether the client has left is looked at now and then.
+  // Waits for input also while a request is in progress, to notice a client that disconnects. What arrives
+  // then (a pipelined request, or a part of the body that nobody has asked for) is buffered until the buffer
+  // is full. From then on reading stops, and EnforceTimeouts polls for a disconnected client.
   void Read() {
-    if (waiting_ || Room() == 0) return;
-    waiting_ = true;
+    if (awaiting_input_ || MaxRead() == 0) return;
+    awaiting_input_ = true;
     socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](ErrorCode error) {
-      self->waiting_ = false;
+      self->awaiting_input_ = false;
       self->OnReadable(error);
     });
   }
@@ -214,60 +229,62 @@
   void OnReadable(ErrorCode error) {
     if (state_ == State::kClosed) return;
     std::size_t n = 0;
-    if (!error) n = socket_.read_some(asio::buffer(owner_.input_, Room()), error);
+    if (!error) n = socket_.read_some(asio::buffer(owner_.input_, MaxRead()), error);
     if (error == asio::error::would_block || error == asio::error::try_again) return Read();
-    if (error) return OnGone();
-    Take(n);
+    if (error) return OnDisconnect();
+    OnInput(n);
     if (state_ != State::kClosed) Read();
   }
 
-  // How much may be read at once. A parser that reads leaves less than a header behind, so there is always
-  // some.
-  std::size_t Room() const {
+  // The number of bytes that may be read at once. It is never 0 while a request is being parsed, because the
+  // parser leaves less than a header unparsed.
+  std::size_t MaxRead() const {
     if (state_ == State::kLingering) return owner_.input_.size();
     return std::min(owner_.input_.size(), buffer_.max_size() - buffer_.size());
   }
 
-  void OnGone() {
+  void OnDisconnect() {
     const auto self = shared_from_this();
-    const bool busy = state_ == State::kBusy;
-    const Taken taken = std::exchange(taken_, nullptr);
+    const bool in_progress = state_ == State::kInProgress;
+    const Taken on_chunk = std::exchange(on_chunk_, nullptr);
     Close();
-    if (busy && !request_.empty()) owner_.events_.on_gone(request_);
-    if (taken) taken(asio::error::connection_aborted, 0, true);
+    if (in_progress && !request_id_.empty()) owner_.events_.on_gone(request_id_);
+    if (on_chunk) on_chunk(asio::error::connection_aborted, 0, true);
   }
 
-  void Take(std::size_t n) {
+  void OnInput(std::size_t n) {
     if (state_ == State::kLingering) {
-      lingered_ += n;
-      if (lingered_ > most_lingering_) return Close();
-      if (most_lingering_ > kMostLingering) since_ = Clock::now();  // the rest of a body that was in order
+      lingered_bytes_ += n;
+      if (lingered_bytes_ > max_lingering_bytes_) return Close();
+      if (max_lingering_bytes_ > kMaxLingeringBytes)
+        timeout_start_ = Clock::now();  // the rest of a valid body
       return;
     }
     buffer_.commit(asio::buffer_copy(buffer_.prepare(n), asio::buffer(owner_.input_, n)));
     if (state_ == State::kReading) return Parse();
-    if (taken_) Supply();
+    if (on_chunk_) SupplyBody();
   }
 
   void Parse() {
-    auto& parser = parser_->parser;
-    std::array<char, kReadSize> piece;
-    while (buffer_.size() > 0 && !parser.is_done() && parser_->held.size() < kMostHeld) {
-      // On a kept connection the time runs from a request's first byte, on a new one it has begun already.
-      if (!std::exchange(parser_->begun, true) && !fresh_) since_ = Clock::now();
+    auto& parser = incoming_->parser;
+    std::array<char, kReadSize> chunk;
+    while (buffer_.size() > 0 && !parser.is_done() && incoming_->buffered_body.size() < kMostHeld) {
+      // On a reused connection the timeout runs from the request's first byte, on a new one from its accept.
+      if (!std::exchange(incoming_->started, true) && !fresh_) timeout_start_ = Clock::now();
       const bool had_header = parser.is_header_done();
       const std::size_t before = buffer_.size();
-      const std::size_t room = std::min(piece.size(), kMostHeld - parser_->held.size());
+      const std::size_t room = std::min(chunk.size(), kMostHeld - incoming_->buffered_body.size());
       ErrorCode error;
-      const std::size_t n = Feed(parser, buffer_, asio::buffer(piece.data(), room), error);
+      const std::size_t n = Feed(parser, buffer_, asio::buffer(chunk.data(), room), error);
       if (error) return Reject(RejectionFor(error));
-      if (!had_header && parser.is_header_done() && !TakeHeader()) return;
-      parser_->held.append(piece.data(), n);
-      parser_->received += n;
-      if (buffer_.size() == before) break;  // more of it is needed
+      if (!had_header && parser.is_header_done() && !AcceptHeader()) return;
+      incoming_->buffered_body.append(chunk.data(), n);
+      incoming_->body_received += n;
+      if (buffer_.size() == before) break;  // more input is needed
     }
-    if (buffer_.size() == 0) buffer_ = beast::flat_buffer(kMostUnparsed);  // an idle connection holds none
-    if (parser.is_done() || parser_->held.size() >= kMostHeld) Dispatch();
+    if (buffer_.size() == 0)
+      buffer_ = beast::flat_buffer(kMostUnparsed);  // frees the memory of an idle connection
+    if (parser.is_done() || incoming_->buffered_body.size() >= kMostHeld) Dispatch();
   }
 
   static Rejection RejectionFor(ErrorCode error) {
@@ -277,9 +294,10 @@
     return {http::status::bad_request, "malformed request\n"};
   }
 
-  // What is wrong shows in the header: guards against reading, keeping or passing on what follows it.
-  bool TakeHeader() {
-    auto& parser = parser_->parser;
+  // Checks the header and reserves memory for the body. Returns false if the request has been rejected;
+  // nothing behind an invalid header is read, buffered or forwarded.
+  bool AcceptHeader() {
+    auto& parser = incoming_->parser;
     const auto& header = parser.get();
     head_only_ = header.method() == http::verb::head;
     version_ = header.version();
@@ -287,71 +305,74 @@
     const std::uint64_t size =
         parser.chunked() ? kMostBody : static_cast<std::uint64_t>(parser.content_length().value_or(0));
     const std::size_t cost = size > kMostHeld ? kMostHeld + kStreamCost : static_cast<std::size_t>(size);
-    if (!charge_.Take(owner_.budget_, cost)) {
+    if (!request_memory_.Take(owner_.budget_, cost)) {
       if (owner_.events_.on_turned_away) owner_.events_.on_turned_away(header);
       return Reject({http::status::service_unavailable, "out of memory for requests\n"}), false;
     }
-    // Whoever expects it sends the body only then. There is room for it: nothing else is being written.
+    // The client sends its body only after a 100 Continue. The socket's send buffer has room for it, because
+    // no answer is being written.
     if (version_ >= 11 && size > 0 && buffer_.size() == 0 && ExpectsContinue(header)) {
-      constexpr std::string_view kGoOn = "HTTP/1.1 100 Continue\r\n\r\n";
+      constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
       ErrorCode error;
-      if (socket_.write_some(asio::buffer(kGoOn), error) != kGoOn.size()) return Close(), false;
+      if (socket_.write_some(asio::buffer(kContinue), error) != kContinue.size()) return Close(), false;
     }
     return true;
   }
 
   void Dispatch() {
-    Become(State::kBusy);
-    const auto& header = parser_->parser.get();
+    EnterState(State::kInProgress);
+    const auto& header = incoming_->parser.get();
     keep_alive_ = header.keep_alive();
     if (header.target() == kReadyPath) {
-      request_.clear();
+      request_id_.clear();
       const bool ready = !owner_.draining_ && owner_.events_.ready();
       return Respond(Whole(Plain(ready ? http::status::ok : http::status::service_unavailable,
                                  ready ? "ready\n" : "not yet\n")));
     }
-    request_ = std::string(ToStringView(header[kIdHeader]));
+    request_id_ = std::string(ToStringView(header[kIdHeader]));
     Message<true> request;
     request.head = header.base();
-    uploading_ = !parser_->parser.is_done();
-    const auto length = parser_->parser.content_length();
+    body_pending_ = !incoming_->parser.is_done();
+    const auto length = incoming_->parser.content_length();
     if (length) request.length = *length;
-    parser_->held.shrink_to_fit();
-    if (!parser_->held.empty()) request.held = std::make_shared<const std::string>(std::move(parser_->held));
-    parser_->held = {};
-    if (uploading_) request.rest = shared_from_this();
-    given_at_ = Clock::now();
+    incoming_->buffered_body.shrink_to_fit();
+    if (!incoming_->buffered_body.empty())
+      request.held = std::make_shared<const std::string>(std::move(incoming_->buffered_body));
+    incoming_->buffered_body = {};
+    if (body_pending_) request.rest = shared_from_this();
+    chunk_passed_at_ = Clock::now();
     try {
       owner_.events_.on_request(shared_from_this(), std::move(request));
     } catch (const std::exception&) {
-      Reject({http::status::internal_server_error, "failed\n"});  // an answer is owed whatever went wrong
+      Reject({http::status::internal_server_error, "failed\n"});  // the client gets an answer in any case
       throw;
     }
   }
 
-  void Supply() {
-    if (!taken_) return;
-    if (state_ != State::kBusy)
-      return std::exchange(taken_, nullptr)(asio::error::connection_aborted, 0, true);
+  // Completes a pending read of the body with what has arrived.
+  void SupplyBody() {
+    if (!on_chunk_) return;
+    if (state_ != State::kInProgress)
+      return std::exchange(on_chunk_, nullptr)(asio::error::connection_aborted, 0, true);
     ErrorCode error;
-    const std::size_t n = Feed(parser_->parser, buffer_, into_, error);
-    if (error) return FailUpload(RejectionFor(error));
-    parser_->received += n;
-    const bool over = parser_->parser.is_done();
+    const std::size_t n = Feed(incoming_->parser, buffer_, chunk_buffer_, error);
+    if (error) return AbortUpload(RejectionFor(error));
+    incoming_->body_received += n;
+    const bool over = incoming_->parser.is_done();
     if (n == 0 && !over) return Read();
-    uploading_ = !over;
-    given_at_ = Clock::now();
-    std::exchange(taken_, nullptr)({}, n, over);
-    if (state_ == State::kBusy) Read();
+    body_pending_ = !over;
+    chunk_passed_at_ = Clock::now();
+    std::exchange(on_chunk_, nullptr)({}, n, over);
+    if (state_ == State::kInProgress) Read();
   }
 
-  // The client's part of a request that is already under way has gone wrong.
-  void FailUpload(const Rejection& rejection) {
+  // The rest of the body is invalid or late, and its request may have been sent to a server already.
+  void AbortUpload(const Rejection& rejection) {
     const auto self = shared_from_this();
-    const Taken taken = std::exchange(taken_, nullptr);
-    owner_.events_.on_gone(request_);
-    if (taken) taken(asio::error::connection_aborted, 0, true);
-    uploading_ = false;
+    const Taken on_chunk = std::exchange(on_chunk_, nullptr);
+    owner_.events_.on_gone(request_id_);
+    if (on_chunk) on_chunk(asio::error::connection_aborted, 0, true);
+    body_pending_ = false;
     Reject(rejection);
   }
 
@@ -360,27 +381,27 @@
     writer_.reset();
     if (done_ && !error) std::exchange(done_, nullptr)(Sent::kWhole);
     if (source_failed) {
-      // Whatever its framing, the client has to see that this is not all.
+      // Reset the connection, so that the client sees a truncated answer whatever its framing.
       if (done_) std::exchange(done_, nullptr)(Sent::kBroken);
       ErrorCode ignored;
       socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     }
     if (error) return Close();
-    answer_charge_ = {};
-    charge_ = {};
+    answer_memory_ = {};
+    request_memory_ = {};
     fresh_ = false;
     if (!keep_alive_) return LingerAndClose();
-    owner_.sessions_.splice(owner_.sessions_.end(), owner_.sessions_, place);
-    Become(State::kReading);
-    parser_.emplace();
+    owner_.sessions_.splice(owner_.sessions_.end(), owner_.sessions_, position);
+    EnterState(State::kReading);
+    incoming_.emplace();
     head_only_ = false;
     Parse();
     if (state_ != State::kClosed) Read();
   }
 
   void LingerAndClose() {
-    Become(State::kLingering);
-    parser_.reset();
+    EnterState(State::kLingering);
+    incoming_.reset();
     ErrorCode error;
     socket_.shutdown(Tcp::socket::shutdown_send, error);
     if (error) return Close();
@@ -391,25 +412,25 @@
   Inbound& owner_;
   Tcp::socket socket_;
   beast::flat_buffer buffer_{kMostUnparsed};
-  std::optional<Incoming> parser_;
+  std::optional<IncomingRequest> incoming_;
   std::shared_ptr<MessageWriter<false>> writer_;
   std::function<void(Sent)> done_;
-  std::string request_;  // the id of the one that is held
-  Charge charge_;        // of the request
-  Charge answer_charge_;
+  std::string request_id_;  // id of the request in progress
+  Charge request_memory_;
+  Charge answer_memory_;
   State state_ = State::kReading;
-  Clock::time_point since_;    // the beginning of what the state's time limit counts from
-  asio::mutable_buffer into_;  // where the next piece of the body is wanted ...
-  Taken taken_;                // ... and by whom; null if nobody waits for it
-  Clock::time_point given_at_;
-  std::size_t lingered_ = 0;
-  std::size_t most_lingering_ = kMostLingering;
+  Clock::time_point timeout_start_;    // when the timeout of the current state began
+  asio::mutable_buffer chunk_buffer_;  // where a pending read of the body puts the next chunk ...
+  Taken on_chunk_;                     // ... and its callback; null if no read is pending
+  Clock::time_point chunk_passed_at_;  // when the last chunk of the body was handed over
+  std::size_t lingered_bytes_ = 0;     // input discarded while the connection is being closed
+  std::size_t max_lingering_bytes_ = kMaxLingeringBytes;
   unsigned version_ = 11;
-  bool uploading_ = false;  // some of the request's body is still to come
-  bool streams_ = false;    // the answer is passed on in pieces
-  bool head_only_ = false;  // the answer has no body, whatever its head says
-  bool fresh_ = true;       // nothing has been answered yet
-  bool waiting_ = false;
+  bool body_pending_ = false;    // some of the request's body has not arrived
+  bool streams_answer_ = false;  // the answer's body is streamed
+  bool head_only_ = false;       // HEAD request: the answer has no body
+  bool fresh_ = true;            // no request has been answered yet
+  bool awaiting_input_ = false;
   bool keep_alive_ = true;
 };
 
@@ -423,8 +444,8 @@
       acceptor_(inherited ? Tcp::acceptor(io, address.protocol(), *inherited)
                           : Tcp::acceptor(io, address, /*reuse_addr=*/true)),
       address_(acceptor_.local_endpoint()),
-      pause_(io),
-      sweep_(io) {
+      accept_pause_(io),
+      sweep_timer_(io) {
   Accept();
 }
 
@@ -445,8 +466,8 @@
 void Inbound::Reject(const SessionPtr& session, const Rejection& rejection) { session->Reject(rejection); }
 
 bool Inbound::ClientLeft(const SessionPtr& session) {
-  if (!session->Left()) return false;
-  session->LeaveLater();
+  if (!session->PeerClosed()) return false;
+  session->ReportDisconnectLater();
   return true;
 }
 
@@ -458,62 +479,63 @@
 
 void Inbound::OnAccepted(ErrorCode error, Tcp::socket socket) {
   if (!error) {
-    // Also if the listener has closed since: the client may have sent its request already.
+    // Serve the connection even if the listener has closed since: the client may have sent its request.
     Add(std::move(socket));
     return Accept();
   }
   if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
   if (error == asio::error::connection_aborted) return Accept();
   MakeRoom();
-  pause_.expires_after(kAcceptPause);
-  pause_.async_wait([this](ErrorCode stopped) {
+  accept_pause_.expires_after(kAcceptPause);
+  accept_pause_.async_wait([this](ErrorCode stopped) {
     if (!stopped) Accept();
   });
 }
 
-// Accepting never stops for want of room. Guards against usual clients that wait in the backlog behind others
-// for an answer that nobody is there to give.
+// Connections are accepted even at the limit, and rejected with 503. If accepting stopped, clients would wait
+// in the backlog without any answer.
 void Inbound::Add(Tcp::socket socket) {
-  if (sessions_.size() >= std::min(limits_.kept, limits_.sessions)) MakeRoom();
-  const bool room = sessions_.size() < limits_.sessions;
-  if (sessions_.size() >= limits_.sessions + kMostTurnedAway) return;  // closes it
+  if (sessions_.size() >= std::min(limits_.soft_max_sessions, limits_.sessions)) MakeRoom();
+  const bool below_limit = sessions_.size() < limits_.sessions;
+  if (sessions_.size() >= limits_.sessions + kMaxRejectedSessions) return;  // closes the socket
   ErrorCode error;
   socket.set_option(Tcp::no_delay(true), error);
   socket.non_blocking(true, error);
   if (error) return;
   const auto session = std::make_shared<Session>(*this, std::move(socket));
-  session->place = sessions_.insert(sessions_.end(), session);
-  room ? session->Start() : session->TurnAway();
-  SweepLater();
+  session->position = sessions_.insert(sessions_.end(), session);
+  below_limit ? session->Start() : session->RejectOverLimit();
+  ScheduleSweep();
 }
 
-// Closes the connection that is missed least: one that has been answered for good, one that has said nothing
-// yet, one that has long been idle, one that is idle. False if all are at work.
+// Closes the least useful connection, in this order: one that is lingering after its last answer, one that
+// has sent nothing yet, one that has been idle for at least min_idle, any idle one. Returns false if there is
+// none.
 bool Inbound::MakeRoom() {
   const auto now = Clock::now();
   const std::function<bool(const Session&)> choices[] = {
-      [](const Session& s) { return s.Lingering(); }, [](const Session& s) { return s.Silent(); },
-      [&](const Session& s) { return s.For(now, limits_.idle_least) && s.Idle(); },
+      [](const Session& s) { return s.Lingering(); }, [](const Session& s) { return s.Unused(); },
+      [&](const Session& s) { return s.TimedOut(now, limits_.min_idle) && s.Idle(); },
       [](const Session& s) { return s.Idle(); }};
   for (const auto& choice : choices)
     for (const SessionPtr& session : sessions_)
       if (choice(*session)) {
-        const SessionPtr kept = session;
-        kept->Close();
+        const SessionPtr closing = session;  // keeps it alive: Close removes it from the list
+        closing->Close();
         return true;
       }
   return false;
 }
 
-void Inbound::Remove(const Session& session) { sessions_.erase(session.place); }
+void Inbound::Remove(const Session& session) { sessions_.erase(session.position); }
 
-// One timer for all: a timer for each connection would cost more than the looking.
-void Inbound::SweepLater() {
-  if (std::exchange(sweeping_, true)) return;
-  sweep_.expires_after(std::chrono::microseconds(limits_.sweep));
-  sweep_.async_wait([this](ErrorCode error) {
+// One timer serves all sessions: a timer for each would cost more than checking them all.
+void Inbound::ScheduleSweep() {
+  if (std::exchange(sweep_scheduled_, true)) return;
+  sweep_timer_.expires_after(std::chrono::microseconds(limits_.sweep_interval));
+  sweep_timer_.async_wait([this](ErrorCode error) {
     if (error) return;
-    sweeping_ = false;
+    sweep_scheduled_ = false;
     Sweep();
   });
 }
@@ -521,16 +543,17 @@
 void Inbound::Sweep() {
   const auto now = Clock::now();
   for (auto it = sessions_.begin(); it != sessions_.end();) {
-    const SessionPtr session = *it++;  // it may take itself out of the list
-    session->Expire(now);
+    const SessionPtr session = *it++;  // the call may remove the session from the list
+    session->EnforceTimeouts(now);
   }
-  if (!sessions_.empty()) SweepLater();
+  if (!sessions_.empty()) ScheduleSweep();
 }
 
 void Inbound::Drain() { draining_ = true; }
 
-// Other processes may hold the same listener: closing a descriptor does not take such a one out of the
-// reactor, which would go on waking up for connections that are no longer its own.
+// Other processes may share the listening socket. Closing only the descriptor would then leave the socket
+// registered with epoll, and the reactor would wake up for connections of the other processes; release()
+// deregisters it first.
 void Inbound::CloseListener() {
   if (!acceptor_.is_open()) return;
   ErrorCode error;
@@ -539,10 +562,10 @@
 }
 
 void Inbound::StopAccepting() {
-  pause_.cancel();
-  // Another process takes what waits in a queue that is shared.
+  accept_pause_.cancel();
+  // The processes that share an inherited listener accept what waits in its backlog.
   if (inherited_) return CloseListener();
-  // What has connected may have sent its request: closing the listener on it would reset it unanswered.
+  // Clients in the backlog may have sent their requests; closing the listener would reset their connections.
   ErrorCode error;
   acceptor_.non_blocking(true, error);
   while (!error) {
@@ -553,15 +576,15 @@
   CloseListener();
 }
 
-void Inbound::CloseIdle(Micros kept, Micros fresh) {
+void Inbound::CloseIdle(Micros reused, Micros unused) {
   const auto now = Clock::now();
   for (const SessionPtr& session : std::vector<SessionPtr>(sessions_.begin(), sessions_.end()))
-    if (session->Idle() && session->For(now, session->Silent() ? fresh : kept)) session->Close();
+    if (session->Idle() && session->TimedOut(now, session->Unused() ? unused : reused)) session->Close();
 }
 
 void Inbound::KeepAtMost(std::size_t sessions) {
-  limits_.kept = sessions;
-  while (sessions_.size() > limits_.kept && MakeRoom()) continue;
+  limits_.soft_max_sessions = sessions;
+  while (sessions_.size() > limits_.soft_max_sessions && MakeRoom()) continue;
 }
 
 }  // namespace merlinrun::net
--- a/src/net/inbound.hpp
+++ b/src/net/inbound.hpp
@@ -1,4 +1,4 @@
-// The application's side: accepts its connections, reads requests, writes answers.
+// The sidecar's HTTP server for the application: accepts connections, reads requests and writes answers.
 #ifndef MERLINRUN_NET_INBOUND_HPP_
 #define MERLINRUN_NET_INBOUND_HPP_
 
@@ -19,69 +19,90 @@
 
 namespace merlinrun::net {
 
+// Accepts the application's connections and reads one request at a time from each. Timeouts and limits keep
+// slow or silent clients from taking the connections and the memory that other clients need. All callbacks
+// come from the event loop.
 class Inbound {
  public:
-  // One connection of the application, with at most one request at a time.
+  // A client's connection, with at most one request in progress.
   class Session;
   using SessionPtr = std::shared_ptr<Session>;
 
   struct Limits {
-    std::size_t sessions = 256;   // and a few more for as long as it takes to turn them away
-    std::size_t kept = SIZE_MAX;  // beyond so many, idle ones make room for new ones
-    // Times, in microseconds. Each counts from a beginning that the client cannot move: what trickles in
-    // extends none of them.
-    Micros request = 2'500'000;  // from its connection, or on a kept one its first byte, to its head's last
-    Micros answer = 5'000'000;   // for the client to read its answer, or the next piece of a long one
-    Micros idle = 6'000'000;     // for a kept connection between requests
-    Micros idle_least = 2'000'000;  // where room is short, one that has been idle for less is closed last
-    Micros linger = 1'000'000;      // for the client to read the answer that closes its connection
-    Micros sweep = 200'000;         // how often the times are looked at
-    std::size_t body_rate =
-        48'000;  // bytes a second that a body has to come in at, beyond the time of a head
+    // Maximum number of connections; a few more exist briefly while they are answered with 503.
+    std::size_t sessions = 256;
+    // Above this number a new connection closes an idle one, if there is one.
+    std::size_t soft_max_sessions = SIZE_MAX;
+    // Timeouts, in microseconds. Each runs from a point that the client cannot move, so a client that sends
+    // or reads a few bytes at a time does not extend it.
+    // For the header of a request: from the start of its connection, or from the request's first byte on a
+    // connection that has already served one.
+    Micros request = 2'500'000;
+    // For the client to read its answer, or the next chunk of a streamed one.
+    Micros answer_timeout = 5'000'000;
+    // For a persistent connection between requests.
+    Micros idle_timeout = 6'000'000;
+    // When connections are short, those that have been idle for less are closed last.
+    Micros min_idle = 2'000'000;
+    // For the client to read the answer after which its connection is closed.
+    Micros linger_timeout = 1'000'000;
+    // Interval between two checks of the timeouts.
+    Micros sweep_interval = 200'000;
+    // Minimum rate of a request's body, in bytes per second; it extends `request`.
+    std::size_t min_body_rate = 48'000;
   };
   struct Events {
-    // The request is answered by one call of Respond or Reject, from in here or later. Its body is held whole
-    // or comes in as it is asked for.
+    // A request has arrived, with its body buffered completely or still to be read from its source. It must
+    // be answered by one call of Respond or Reject, in this callback or later.
     std::function<void(const SessionPtr&, Message<true>)> on_request;
-    // The client left during its request, or spoilt what was still to come of it.
+    // The client disconnected while its request was in progress, or the rest of its body was invalid or late.
+    // `request` is the request's id.
     std::function<void(const std::string& request)> on_gone;
-    // A request that would be in order, but that there is no memory for: it has been refused.
+    // A valid request has been answered with 503 because the memory limit leaves no room for its body.
     std::function<void(const RequestHeader&)> on_turned_away;
+    // Whether GET /ready is answered with 200.
     std::function<bool()> ready;
   };
 
-  // Throws boost::system::system_error if the address cannot be listened on. `inherited` is a listener that
-  // other processes may hold too; it is taken in place of the address, and closed at the end.
+  // Starts to accept connections. Throws boost::system::system_error if it cannot listen on the address.
+  // `inherited` is a listening descriptor that other processes may share. If set, it is used in place of the
+  // address, and closed by StopAccepting or the destructor.
   Inbound(asio::io_context& io, const Tcp::endpoint& address, std::optional<int> inherited, Limits limits,
           Budget& budget, Events events);
   ~Inbound();
   Inbound(const Inbound&) = delete;
   Inbound& operator=(const Inbound&) = delete;
 
+  // What became of an answer: written completely, cut short because its source failed, or not delivered
+  // because the client disconnected.
   enum class Sent { kWhole, kBroken, kClientGone };
   struct Reply {
     Message<false> message;
-    Charge charge;                   // held until it is written
-    std::function<void(Sent)> done;  // what became of it
+    Charge charge;                   // memory of the answer, released once it is written
+    std::function<void(Sent)> done;  // called when the answer is written or has failed; may be empty
   };
+  // A reply whose body is buffered completely.
   static Reply Whole(HttpResponse response);
-  // Answers the session's request.
+  // Answers the session's request, with keep-alive where possible.
   static void Respond(const SessionPtr& session, Reply reply);
-  // The same for a request that is wrong: its connection is closed, as what is behind it cannot be trusted.
+  // Answers an invalid request and closes its connection: the bytes behind it cannot be parsed reliably.
   static void Reject(const SessionPtr& session, const Rejection& rejection);
-  // Whether the client of the session's request has left by now; if so, on_gone tells of it soon.
+  // Whether the client of the session's request has closed its connection. If so, on_gone is called soon
+  // after.
   static bool ClientLeft(const SessionPtr& session);
 
-  // From now on each answer closes its connection.
+  // From now on each connection is closed after its next answer.
   void Drain();
-  // Accepts what has connected already, then no more; of an inherited listener nothing more at once.
+  // Accepts the connections that are waiting in the backlog, then closes the listener. An inherited listener
+  // is closed at once: the processes that share it accept what waits.
   void StopAccepting();
-  // Closes the connections that have been between requests for so long, and those that have said nothing
-  // since they came for so long.
-  void CloseIdle(Micros kept, Micros fresh);
-  // From now on idle connections are kept only where there are no more than so many in all.
+  // Closes connections that have been idle since their last answer for at least `reused`, and those that have
+  // sent nothing since they were accepted for at least `unused`.
+  void CloseIdle(Micros reused, Micros unused);
+  // Sets the number of connections above which idle ones are closed, at once and on each new connection.
   void KeepAtMost(std::size_t sessions);
 
+  // Open connections, including those that are being rejected or closed.
   std::size_t sessions() const { return sessions_.size(); }
   Tcp::endpoint address() const { return address_; }
 
@@ -92,7 +113,7 @@
   bool MakeRoom();
   void Remove(const Session& session);
   void CloseListener();
-  void SweepLater();
+  void ScheduleSweep();
   void Sweep();
 
   asio::io_context& io_;
@@ -102,12 +123,13 @@
   const bool inherited_;
   Tcp::acceptor acceptor_;
   Tcp::endpoint address_;
-  asio::steady_timer pause_;
-  asio::steady_timer sweep_;
-  bool sweeping_ = false;
+  asio::steady_timer accept_pause_;
+  asio::steady_timer sweep_timer_;
+  bool sweep_scheduled_ = false;
   bool draining_ = false;
-  std::array<char, kPiece> input_{};  // one for all: it holds nothing from one handler to the next
-  std::list<SessionPtr> sessions_;    // the one whose last answer is oldest first
+  // Read buffer that all sessions share; it is empty between two handlers.
+  std::array<char, kPiece> input_{};
+  std::list<SessionPtr> sessions_;  // in the order of their last answer (or start), oldest first
 };
 
 }  // namespace merlinrun::net
--- a/tests/net/inbound_test.cpp
+++ b/tests/net/inbound_test.cpp
@@ -1,4 +1,4 @@
-// Clients that do not behave, and those that share the sidecar with them.
+// Misbehaving clients: their timeouts and limits, and the service that other clients get beside them.
 #include "net/inbound.hpp"
 
 #include "loopback.hpp"
@@ -12,18 +12,18 @@
  protected:
   InboundTest() {
     limits.request = 200'000;
-    limits.idle = 300'000;
-    limits.idle_least = 0;
-    limits.linger = 100'000;
-    limits.sweep = 20'000;
+    limits.idle_timeout = 300'000;
+    limits.min_idle = 0;
+    limits.linger_timeout = 100'000;
+    limits.sweep_interval = 20'000;
   }
   void Start() {
     Inbound::Events events;
     events.on_request = [this](const Inbound::SessionPtr& session, Message<true> request) {
       requests.push_back(std::move(request));
-      if (answers) Inbound::Respond(session, Inbound::Whole(Plain(http::status::ok, body)));
+      if (answer_requests) Inbound::Respond(session, Inbound::Whole(Plain(http::status::ok, body)));
     };
-    events.on_gone = [this](const std::string& id) { gone.push_back(id); };
+    events.on_gone = [this](const std::string& id) { disconnected.push_back(id); };
     events.ready = [] { return true; };
     inbound = std::make_unique<Inbound>(io, Loopback(), inherited, limits, budget, std::move(events));
   }
@@ -47,12 +47,12 @@
   Budget budget{std::size_t{1} << 20};
   std::unique_ptr<Inbound> inbound;
   std::vector<Message<true>> requests;
-  std::vector<std::string> gone;
-  bool answers = true;
+  std::vector<std::string> disconnected;
+  bool answer_requests = true;
   std::string body = "ok";
 };
 
-TEST_F(InboundTest, ClosesASilentConnectionAndToldHalfARequestOffInTime) {
+TEST_F(InboundTest, ClosesSilentConnectionsAndAnswersIncompleteRequestsWith408) {
   Start();
   auto silent = Client();
   auto half = Client("GET /api HTTP/1.1\r\nReq-Id: r1\r\n");
@@ -66,7 +66,7 @@
   EXPECT_TRUE(requests.empty());
 }
 
-TEST_F(InboundTest, TricklingExtendsNothing) {
+TEST_F(InboundTest, SendingByteByByteDoesNotExtendTheTimeout) {
   Start();
   auto client = Client("GET /api HTTP/1.1\r\nX: ");
   const auto begin = std::chrono::steady_clock::now();
@@ -77,21 +77,21 @@
   EXPECT_EQ(Status(*client), "408");
 }
 
-TEST_F(InboundTest, AKeptConnectionAgesOutOnlyWhenIdle) {
-  answers = false;
+TEST_F(InboundTest, APersistentConnectionTimesOutOnlyWhileIdle) {
+  answer_requests = false;
   Start();
   auto busy = Client(Get("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return requests.size() == 1; }));
-  answers = true;
+  answer_requests = true;
   auto kept = Client(Get("r2"));
   EXPECT_EQ(Status(*kept), "200");
   EXPECT_TRUE(Ends(*kept));
-  EXPECT_FALSE(busy->ended) << "closed while its request is held";
+  EXPECT_FALSE(busy->ended) << "closed while its request was in progress";
 }
 
-TEST_F(InboundTest, AClientThatDoesNotReadItsAnswerIsLetGo) {
-  limits.answer = 200'000;
-  body = std::string(16U << 20, 'x');  // far more than the kernel buffers
+TEST_F(InboundTest, ClosesTheConnectionOfAClientThatDoesNotReadItsAnswer) {
+  limits.answer_timeout = 200'000;
+  body = std::string(16U << 20, 'x');  // far more than the socket buffers hold
   Start();
   Tcp::socket client(io);
   client.connect(inbound->address());
@@ -100,8 +100,8 @@
   EXPECT_TRUE(RunUntil(io, [&] { return inbound->sessions() == 0; }));
 }
 
-// Silent connections used to fill all places until accepting stopped.
-TEST_F(InboundTest, SilentConnectionsMakeRoomForOthersAtOnce) {
+// Silent connections once took all places, until no more connections were accepted.
+TEST_F(InboundTest, ClosesSilentConnectionsToServeNewOnes) {
   limits.sessions = 4;
   limits.request = 60'000'000;
   Start();
@@ -111,9 +111,9 @@
   EXPECT_TRUE(Ends(*silent.front()));
 }
 
-TEST_F(InboundTest, FullOfWorkItTurnsNewConnectionsAwayAndKeepsTheWork) {
+TEST_F(InboundTest, RejectsNewConnectionsWith503WhileAllOthersAreBusy) {
   limits.sessions = 4;
-  answers = false;
+  answer_requests = false;
   Start();
   std::vector<std::shared_ptr<Peer>> working;
   for (int i = 0; i < 4; ++i) working.push_back(Client(Get("r" + std::to_string(i))));
@@ -126,7 +126,7 @@
   for (const auto& client : working) EXPECT_FALSE(client->ended);
 }
 
-TEST_F(InboundTest, WhatIsBehindARejectedRequestIsNeverRead) {
+TEST_F(InboundTest, BytesBehindARejectedRequestAreNotParsed) {
   Start();
   const std::string hidden = Get("hidden");
   auto client = Client("POST /api HTTP/1.1\r\nReq-Id: r1\r\nTransfer-Encoding: chunked\r\nContent-Length: " +
@@ -136,7 +136,7 @@
   EXPECT_TRUE(requests.empty());
 }
 
-TEST_F(InboundTest, ABodyWithoutEndIsToldOffAtItsHeadAndNotKept) {
+TEST_F(InboundTest, RejectsATooLargeBodyAtItsHeaderWithoutBufferingIt) {
   Start();
   auto client = Client("POST /api HTTP/1.1\r\nReq-Id: r1\r\nContent-Length: 60000000\r\n\r\n");
   EXPECT_EQ(Status(*client), "413");
@@ -146,11 +146,11 @@
   EXPECT_EQ(budget.held(), 0U);
 }
 
-TEST_F(InboundTest, BodiesBeyondTheMemoryBudgetAreRefusedAndTheBudgetComesBack) {
+TEST_F(InboundTest, RefusesBodiesBeyondTheMemoryBudgetAndReleasesTheirMemory) {
   const std::string head = "POST /api HTTP/1.1\r\nReq-Id: r1\r\nContent-Length: 65536\r\n\r\n";
   limits.request = 60'000'000;
   Start();
-  std::vector<std::shared_ptr<Peer>> clients;  // 16 bodies are the whole megabyte
+  std::vector<std::shared_ptr<Peer>> clients;  // 16 bodies take the whole budget of 1 MiB
   for (int i = 0; i < 16; ++i) clients.push_back(Client(head));
   ASSERT_TRUE(RunUntil(io, [&] { return budget.held() == std::size_t{1} << 20; }));
   EXPECT_EQ(Status(*Client(head)), "503");
@@ -160,15 +160,16 @@
   EXPECT_TRUE(RunUntil(io, [&] { return budget.held() == 0; }));
 }
 
-// Of a listener that another process holds too, closing takes nothing but this process's part.
-TEST_F(InboundTest, AnInheritedListenerIsLetGoWithoutAWordToItsQueue) {
+// A listener that is shared with another process is closed in this process only: connections in its backlog
+// are neither accepted nor reset, and the next process serves them.
+TEST_F(InboundTest, ClosingAnInheritedListenerLeavesItsBacklogToOtherProcesses) {
   Tcp::acceptor held(io, Loopback());
   const Tcp::endpoint address = held.local_endpoint();
   inherited = ::dup(held.native_handle());
   Start();
   EXPECT_EQ(inbound->address(), address);
   EXPECT_EQ(Status(*Client(Get("r1"))), "200");
-  const auto waiting = Client(Get("r2"));  // in the queue, as the loop has not run since
+  const auto waiting = Client(Get("r2"));  // in the backlog, because the loop has not run since
   inbound->StopAccepting();
   const auto late = Connect(io, address);
   late->Write(Get("r3"));
@@ -182,14 +183,14 @@
   EXPECT_EQ(Status(*late), "200");
 }
 
-TEST_F(InboundTest, WithLessRoomIdleConnectionsAreClosedAndBusyOnesAreNot) {
+TEST_F(InboundTest, ALowerSoftLimitClosesIdleConnectionsOnly) {
   Start();
   std::vector<std::shared_ptr<Peer>> idle;
   for (int i = 0; i < 4; ++i) {
     idle.push_back(Client(Get("r" + std::to_string(i))));
     EXPECT_EQ(Status(*idle.back()), "200");
   }
-  answers = false;
+  answer_requests = false;
   const auto busy = Client(Get("b1"));
   ASSERT_TRUE(RunUntil(io, [&] { return requests.size() == 5; }));
   inbound->KeepAtMost(2);
@@ -198,14 +199,14 @@
   EXPECT_FALSE(busy->ended || idle[3]->ended);
 }
 
-TEST_F(InboundTest, TellsWhichRequestsClientHasGone) {
-  answers = false;
+TEST_F(InboundTest, ReportsTheRequestOfADisconnectedClient) {
+  answer_requests = false;
   Start();
   auto client = Client(Get("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return requests.size() == 1; }));
   client->Reset();
-  ASSERT_TRUE(RunUntil(io, [&] { return !gone.empty(); }));
-  EXPECT_EQ(gone[0], "r1");
+  ASSERT_TRUE(RunUntil(io, [&] { return !disconnected.empty(); }));
+  EXPECT_EQ(disconnected[0], "r1");
 }
 
 }  // namespace
