--- a/tests/net/terms_test.cpp
+++ b/tests/net/discovery_outage_test.cpp
@@ -1,5 +1,5 @@
-// Terms of service that hold on the worst of days: discovery is heard through a crowd of idle clients, and a
-// fleet is ready before a slow discovery has answered it. What a client that has left is owed: left_test.cpp.
+// Service during discovery outages: the sidecar reaches a recovered discovery although idle clients use up
+// its descriptors, and a fleet that restarts is ready before a slow discovery has answered.
 #include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -17,12 +17,12 @@
 
 using namespace testing;  // NOLINT(google-build-using-namespace)
 
-// ---- Idle clients fill the descriptors while discovery is down ----
+// ---- Idle clients use up the descriptors while discovery is down ----
 
-class CrowdTest : public ::testing::Test {
+class IdleClientsTest : public ::testing::Test {
  protected:
-  CrowdTest() : discovery(io, Tcp::v4()) {
-    discovery.bind(Loopback());  // refuses until it listens
+  IdleClientsTest() : discovery(io, Tcp::v4()) {
+    discovery.bind(Loopback());  // connections are refused until it listens
     Tcp::acceptor free_port(io, Loopback());
     listen = free_port.local_endpoint();
     char name[] = "/tmp/fennelhollow-crowd-XXXXXX";
@@ -30,7 +30,7 @@
     ::close(file);
     path = name;
   }
-  ~CrowdTest() override {
+  ~IdleClientsTest() override {
     if (pid > 0) {
       ::kill(pid, SIGKILL);
       ::waitpid(pid, nullptr, 0);
@@ -38,7 +38,7 @@
     ::unlink(path.c_str());
   }
 
-  // The program with so many descriptors and no more.
+  // Runs the program with a limit of `sockets` descriptors.
   void Start(std::size_t sockets, const std::vector<nlohmann::json>& known, const std::string& mode) {
     nlohmann::json json = ConfigJson(discovery.local_endpoint(), known);
     json["listen"] = Text(listen);
@@ -65,23 +65,23 @@
     client->Write(text);
     return client;
   }
-  // The status of the answer; empty if there is none.
+  // Returns the status of the answer, or an empty string if there is none.
   std::string Ask(const std::string& text) {
     const auto client = Client(text);
     if (client == nullptr) return "";
     RunUntil(io, [&] { return client->requests() > 0 || client->ended; });
     return client->requests() > 0 ? client->received.substr(9, 3) : "";
   }
-  // So many clients at rest: half have said nothing, half rest between two requests, and a few stay in the
-  // middle of one. One that is closed comes again at once.
-  void Crowd(std::size_t count) {
-    crowd.resize(count);
+  // Keeps `count` inactive clients connected: half have sent nothing, most others are idle between two
+  // requests, and some have sent part of one. Clients whose connection was closed reconnect.
+  void KeepIdleClients(std::size_t count) {
+    idle_clients.resize(count);
     for (std::size_t i = 0; i < count; ++i)
-      if (crowd[i] == nullptr || crowd[i]->ended)
-        crowd[i] = Client(i % 16 == 1 ? "GET /re" : i % 2 == 0 ? "" : "GET /ready HTTP/1.1\r\n\r\n");
+      if (idle_clients[i] == nullptr || idle_clients[i]->ended)
+        idle_clients[i] = Client(i % 16 == 1 ? "GET /re" : i % 2 == 0 ? "" : "GET /ready HTTP/1.1\r\n\r\n");
   }
-  // Discovery is back: it takes each call and writes down what was asked.
-  void ComeBack(const nlohmann::json& list) {
+  // Ends the outage: discovery answers each call with a watch that starts with `list`, and keeps the request.
+  void StartDiscovery(const nlohmann::json& list) {
     discovery.listen();
     Accept(list);
   }
@@ -103,48 +103,48 @@
   asio::io_context io;
   Tcp::acceptor discovery;
   std::vector<std::shared_ptr<Peer>> watches;
-  std::vector<std::shared_ptr<Peer>> crowd;
+  std::vector<std::shared_ptr<Peer>> idle_clients;
   Tcp::endpoint listen;
   std::string path;
   pid_t pid = 0;
 };
 
-class CrowdedOut : public CrowdTest, public ::testing::WithParamInterface<const char*> {};
+class OutageWithIdleClients : public IdleClientsTest, public ::testing::WithParamInterface<const char*> {};
 
-TEST_P(CrowdedOut, AtItsReturnTheListIsLearntAndClientsAreServed) {
-  constexpr std::size_t kSockets = 64;  // the least that the settings may give
-  ScriptedServer gone(io, Serves("old"));
-  ScriptedServer fresh(io, Serves("new"));
-  ASSERT_NO_FATAL_FAILURE(Start(kSockets, {Entry("s-1", gone.address)}, GetParam()));
+TEST_P(OutageWithIdleClients, GetsTheListAndServesClientsOnceDiscoveryIsBack) {
+  constexpr std::size_t kSockets = 64;  // the minimum that the settings allow
+  ScriptedServer old_server(io, Serves("old"));
+  ScriptedServer new_server(io, Serves("new"));
+  ASSERT_NO_FATAL_FAILURE(Start(kSockets, {Entry("s-1", old_server.address)}, GetParam()));
   for (int i = 0; i < 20; ++i) {
-    Crowd(2 * kSockets);
+    KeepIdleClients(2 * kSockets);
     RunFor(io, 20ms);
   }
-  ComeBack(List(2, true, {Entry("s-2", fresh.address)}));
+  StartDiscovery(List(2, true, {Entry("s-2", new_server.address)}));
   ASSERT_TRUE(RunUntil(io, [&] {
-    Crowd(2 * kSockets);
+    KeepIdleClients(2 * kSockets);
     return !watches.empty() && watches.back()->requests() == 1;
   }));
   int served = 0;
-  for (int i = 0; i < 200 && fresh.requests() < 10; ++i) {
-    Crowd(2 * kSockets);
+  for (int i = 0; i < 200 && new_server.requests() < 10; ++i) {
+    KeepIdleClients(2 * kSockets);
     const std::string status = Ask("GET /api HTTP/1.1\r\nReq-Id: r" + std::to_string(i) +
                                    "\r\nReq-Kind: look\r\nReq-Deadline: 5.0\r\n\r\n");
     ASSERT_NE(status, "") << i;
     served += status == "200";
   }
-  EXPECT_EQ(fresh.requests(), 10);
+  EXPECT_EQ(new_server.requests(), 10);
   EXPECT_GE(served, 10);
 }
 
-INSTANTIATE_TEST_SUITE_P(Modes, CrowdedOut, ::testing::Values("automatic", "subscribe"));
+INSTANTIATE_TEST_SUITE_P(Modes, OutageWithIdleClients, ::testing::Values("automatic", "subscribe"));
 
 // ---- Forty sidecars restart at once against a slow discovery ----
 
 class FleetTest : public ::testing::Test {
  protected:
   static constexpr std::size_t kFleet = 40;
-  static constexpr std::size_t kNineInTen = 36;
+  static constexpr std::size_t kNinetyPercent = 36;
 
   FleetTest() : discovery(io, [this](Peer& peer) { waiting.push_back(&peer); }), server(io, Serves("ok")) {}
 
@@ -163,8 +163,8 @@
       fleet.back()->Start();
     }
   }
-  // How many answer GET /ready with 200.
-  std::size_t Ready() {
+  // Returns how many sidecars answer GET /ready with 200.
+  std::size_t CountReady() {
     std::vector<std::shared_ptr<Peer>> clients;
     for (const auto& sidecar : fleet) {
       clients.push_back(Connect(io, sidecar->address()));
@@ -177,30 +177,30 @@
     }
     return ready;
   }
-  static bool AsksForAll(const Peer& peer) {
+  static bool RequestsCompleteList(const Peer& peer) {
     return peer.received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0) == 0;
   }
-  // Discovery takes the call that has waited longest: each fifth fails.
-  void Step() {
+  // Discovery answers the call that has waited longest; each fifth call fails.
+  void AnswerOneCall() {
     Peer& peer = *waiting.front();
     waiting.pop_front();
-    if (peer.ended) return void(++given_up);
-    const bool whole = AsksForAll(peer);
-    asked_for_all += whole;
-    if (++taken % 5 == 0) {
-      refused_all += whole;
+    if (peer.ended) return void(++abandoned_calls);
+    const bool complete = RequestsCompleteList(peer);
+    complete_list_calls += complete;
+    if (++answered_calls % 5 == 0) {
+      complete_list_failures += complete;
       return peer.Write(Reply("503 Service Unavailable", ""));
     }
-    if (whole) return peer.Write(Reply("200 OK", List(7, true, {Entry("s-1", server.address)}).dump()));
+    if (complete) return peer.Write(Reply("200 OK", List(7, true, {Entry("s-1", server.address)}).dump()));
     peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   }
 
   asio::io_context io;
-  std::deque<Peer*> waiting;  // calls that discovery has not come to
-  std::size_t taken = 0;
-  std::size_t asked_for_all = 0;  // calls for the whole list that were taken ...
-  std::size_t refused_all = 0;    // ... and that failed
-  std::size_t given_up = 0;       // by their sidecars before they were taken
+  std::deque<Peer*> waiting;  // calls that discovery has not answered yet
+  std::size_t answered_calls = 0;
+  std::size_t complete_list_calls = 0;     // answered calls for the complete list ...
+  std::size_t complete_list_failures = 0;  // ... and how many of them failed
+  std::size_t abandoned_calls = 0;         // calls that their sidecars closed before discovery came to them
   ScriptedServer discovery;
   ScriptedServer server;
   std::vector<std::unique_ptr<Sidecar>> fleet;
@@ -208,25 +208,26 @@
 
 class RestartedFleet : public FleetTest, public ::testing::WithParamInterface<const char*> {};
 
-TEST_P(RestartedFleet, IsReadyWithWhatItKnewBeforeDiscoveryAnswersAnybody) {
+TEST_P(RestartedFleet, IsReadyWithItsKnownServersBeforeDiscoveryAnswers) {
   Start({Entry("s-1", server.address)}, GetParam());
-  EXPECT_GE(Ready(), kNineInTen);
-  EXPECT_EQ(taken, 0U);
+  EXPECT_GE(CountReady(), kNinetyPercent);
+  EXPECT_EQ(answered_calls, 0U);
 }
 
-// Each asks for the whole list once, and again only where that failed: discovery has no more to serve than
-// one list for each and what it refused.
-TEST_P(RestartedFleet, ThatKnewNothingIsReadyAfterOneListForEach) {
+// Each sidecar requests the complete list once, and again only after a failed call: discovery serves no more
+// than one list for each sidecar, plus the calls that it refused.
+TEST_P(RestartedFleet, WithoutKnownServersIsReadyAfterOneListForEachSidecar) {
   Start({}, GetParam());
-  EXPECT_EQ(Ready(), 0U);
-  const auto learnt = [&] { return asked_for_all - refused_all; };
-  while (learnt() < kFleet && taken < 4 * kFleet) {
-    ASSERT_TRUE(RunUntil(io, [&] { return !waiting.empty(); })) << learnt() << " of " << taken;
-    ASSERT_LE(waiting.size(), kFleet + given_up);
-    Step();
+  EXPECT_EQ(CountReady(), 0U);
+  const auto lists_received = [&] { return complete_list_calls - complete_list_failures; };
+  while (lists_received() < kFleet && answered_calls < 4 * kFleet) {
+    ASSERT_TRUE(RunUntil(io, [&] { return !waiting.empty(); }))
+        << lists_received() << " of " << answered_calls;
+    ASSERT_LE(waiting.size(), kFleet + abandoned_calls);
+    AnswerOneCall();
   }
-  EXPECT_EQ(learnt(), kFleet);
-  EXPECT_TRUE(RunUntil(io, [&] { return Ready() == kFleet; }));
+  EXPECT_EQ(lists_received(), kFleet);
+  EXPECT_TRUE(RunUntil(io, [&] { return CountReady() == kFleet; }));
 }
 
 INSTANTIATE_TEST_SUITE_P(Modes, RestartedFleet, ::testing::Values("automatic", "subscribe"));
--- a/tests/net/rare_test.cpp
+++ b/tests/net/sidecar_edge_cases_test.cpp
@@ -1,5 +1,6 @@
-// Rare moments: what happens when two things cross. The order is forced by steps of the loop, never by
-// sleeps.
+// Edge cases of a whole sidecar: clients that disconnect while their request waits, several classes on one
+// connection, changes of the discovery address, and unusual lists. Tests force the order of events by running
+// the event loop step by step, not by sleeping.
 #include "sidecar_fixture.hpp"
 
 namespace merlinrun::net {
@@ -7,79 +8,83 @@
 
 using namespace testing;  // NOLINT(google-build-using-namespace)
 
-class RareTest : public SidecarTest {
+class SidecarEdgeCasesTest : public SidecarTest {
  protected:
-  static std::string Watching() { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; }
+  static std::string WatchHeader() { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; }
   static std::string Chunk(const std::string& text) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
     return size + text + "\r\n";
   }
-  // Follows another discovery from now on.
+  // Switches to another discovery address.
   void Reload(const Tcp::endpoint& address) {
     Config config = ParseConfig(ConfigJson(address, {}).dump());
     sidecar->Reload(config);
   }
-  // Lists are asked for, not pushed, and at once.
-  static void Asked(nlohmann::json& json) {
+  // Lists are requested by the module, without delay, instead of pushed.
+  static void UseSubscribeMode(nlohmann::json& json) {
     json["settings"]["membership_mode"] = "subscribe";
     json["settings"]["rules"]["ask_within_us"] = 1000;
   }
 };
 
-// ---- A client that leaves while its request waits ----
+// ---- A client that disconnects while its request waits ----
 
-class LeavingTest : public RareTest {
+class RetryDisconnectTest : public SidecarEdgeCasesTest {
  protected:
-  enum class How { kFin, kReset };
+  enum class CloseMode { kFin, kReset };
 
   static std::string Declined() { return Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n"); }
-  Counters::Class Of(std::size_t request_class) const { return sidecar->counters().classes()[request_class]; }
+  Counters::Class CountsOf(std::size_t request_class) const {
+    return sidecar->counters().classes()[request_class];
+  }
 
-  // Sends this, has its first attempt turned away, leaves, and looks at what is done for it after that.
-  void LeaveDuringTheWait(const std::string& text, std::size_t request_class, How how) {
+  // Sends `text`, lets the server refuse the first attempt, disconnects during the retry delay, and checks
+  // that no further attempt is made and the request is counted as disconnected.
+  void DisconnectDuringRetryDelay(const std::string& text, std::size_t request_class, CloseMode mode) {
     std::shared_ptr<Peer> client;
     int declined = 0;
     ScriptedServer server(io, [&](Peer& peer) {
       if (declined >= peer.requests()) return;
       ++declined;
       peer.Write(Declined());
-      if (declined == 1) how == How::kFin ? client->Close() : client->Reset();
+      if (declined == 1) mode == CloseMode::kFin ? client->Close() : client->Reset();
     });
     Start({Entry("s-1", server.address)});
     client = Connect(io, sidecar->address());
     client->Write(text);
     ASSERT_TRUE(RunUntil(io, [&] { return declined == 1; }));
     ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
-    RunFor(io, 300ms);  // longer than the longest first wait
+    RunFor(io, 300ms);  // longer than the longest first retry delay
     EXPECT_EQ(server.requests(), 1);
     EXPECT_EQ(sidecar->counters().attempts(), 1U);
     EXPECT_EQ(sidecar->counters().open(), 0U);
-    const Counters::Class counted = Of(request_class);
+    const Counters::Class counted = CountsOf(request_class);
     EXPECT_EQ(counted.refused + counted.failed + counted.served, 0U);
     EXPECT_EQ(counted.gone, 1U);
   }
 };
 
-TEST_F(LeavingTest, ByAFin) { LeaveDuringTheWait(Get("a"), 0, How::kFin); }
-TEST_F(LeavingTest, ByAReset) { LeaveDuringTheWait(Get("a"), 0, How::kReset); }
-TEST_F(LeavingTest, ByAFinWithBytesBehindTheRequest) {
-  LeaveDuringTheWait(Get("a") + Get("b").substr(0, 20), 0, How::kFin);
+TEST_F(RetryDisconnectTest, StopsAfterAFin) { DisconnectDuringRetryDelay(Get("a"), 0, CloseMode::kFin); }
+TEST_F(RetryDisconnectTest, StopsAfterAReset) { DisconnectDuringRetryDelay(Get("a"), 0, CloseMode::kReset); }
+TEST_F(RetryDisconnectTest, StopsAfterAFinBehindPartOfAnotherRequest) {
+  DisconnectDuringRetryDelay(Get("a") + Get("b").substr(0, 20), 0, CloseMode::kFin);
 }
-TEST_F(LeavingTest, ByAResetWithARequestBehindTheRequest) {
-  LeaveDuringTheWait(Get("a") + Get("b"), 0, How::kReset);
+TEST_F(RetryDisconnectTest, StopsAfterAResetBehindAnotherRequest) {
+  DisconnectDuringRetryDelay(Get("a") + Get("b"), 0, CloseMode::kReset);
 }
-TEST_F(LeavingTest, ByAFinWithMoreBehindTheRequestThanIsRead) {
+TEST_F(RetryDisconnectTest, StopsAfterAFinBehindMoreInputThanIsBuffered) {
   std::string more;
   for (int i = 0; i < 1000; ++i) more += Get("b" + std::to_string(i));
-  LeaveDuringTheWait(Get("a") + more, 0, How::kFin);
+  DisconnectDuringRetryDelay(Get("a") + more, 0, CloseMode::kFin);
 }
 
-// Some of an upload has come, more than is read of it, and nobody is there to be sent it. (An end that is
-// stuck behind more than the kernel takes in cannot be seen before that has been read.)
-class LeavingUpload : public LeavingTest, public ::testing::WithParamInterface<bool> {};
+// Part of an upload has arrived, more than the sidecar buffers, and no server accepts connections. (A
+// disconnect behind more data than the kernel's receive buffer holds cannot be noticed before that data has
+// been read.)
+class UploadDisconnectTest : public RetryDisconnectTest, public ::testing::WithParamInterface<bool> {};
 
-TEST_P(LeavingUpload, HalfDone) {
+TEST_P(UploadDisconnectTest, EndsAHalfFinishedUpload) {
   ScriptedServer server(io);
   server.StopListening();
   Start({Entry("s-1", server.address)});
@@ -90,15 +95,15 @@
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 1; }));
   GetParam() ? client->Reset() : client->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
-  EXPECT_EQ(Of(1).gone, 1U);
-  EXPECT_EQ(Of(1).refused + Of(1).failed, 0U);
+  EXPECT_EQ(CountsOf(1).gone, 1U);
+  EXPECT_EQ(CountsOf(1).refused + CountsOf(1).failed, 0U);
   EXPECT_EQ(sidecar->counters().open(), 0U);
 }
 
-INSTANTIATE_TEST_SUITE_P(ByFinOrReset, LeavingUpload, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(ByFinOrReset, UploadDisconnectTest, ::testing::Bool());
 
-// The end of the client's connection and the end of the wait come in one turn of the loop.
-TEST_F(LeavingTest, InTheTurnOfTheRetry) {
+// The disconnect and the end of the retry delay are handled in the same iteration of the event loop.
+TEST_F(RetryDisconnectTest, StopsInTheLoopIterationOfTheRetry) {
   std::shared_ptr<Peer> client;
   ScriptedServer server(io);
   Start({Entry("s-1", server.address)});
@@ -106,18 +111,19 @@
   client->Write(Get("a") + Get("b"));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   server.peers[0]->Write(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\nConnection: close\r\n"));
-  // Until the sidecar has taken the refusal; then the loop stands still until the longest wait is over.
+  // Wait until the sidecar has processed the refusal; then block the loop until the longest retry delay is
+  // over.
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->upstream_connections() == 0; }));
   client->Close();
-  const auto over = std::chrono::steady_clock::now() + 110ms;
-  while (std::chrono::steady_clock::now() < over) continue;
+  const auto delay_end = std::chrono::steady_clock::now() + 110ms;
+  while (std::chrono::steady_clock::now() < delay_end) continue;
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
   EXPECT_EQ(server.requests(), 1);
-  EXPECT_EQ(Of(0).gone, 1U);
+  EXPECT_EQ(CountsOf(0).gone, 1U);
 }
 
-// While the connection to the server is coming up: what was not written is never written.
-TEST_F(LeavingTest, DuringTheDial) {
+// A client that disconnects while the connection to the server is being established ends the dial.
+TEST_F(RetryDisconnectTest, ClosesAConnectionThatIsBeingDialled) {
   ScriptedServer server(io);
   Start({Entry("s-1", server.address)});
   const auto client = Connect(io, sidecar->address());
@@ -126,14 +132,15 @@
   client->Reset();
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
   EXPECT_EQ(sidecar->upstream_connections(), 0U);
-  EXPECT_EQ(Of(0).gone, 1U);
+  EXPECT_EQ(CountsOf(0).gone, 1U);
 }
 
-// ---- Settings apart ----
+// ---- Request classes ----
 
-// Requests of several classes on one kept connection each get their own class, also where two names are one
-// on the wire; and what is wrong costs nobody theirs.
-TEST_F(RareTest, EachRequestHasItsOwnClassOnOneConnection) {
+// Requests of several classes on one persistent connection are each assigned to their own class, even if two
+// class names have the same form on the module's wire protocol. A request of an unknown class affects no
+// other.
+TEST_F(SidecarEdgeCasesTest, EachRequestHasItsOwnClassOnOneConnection) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s-1", server.address)}, [](nlohmann::json& json) {
     auto& classes = json["settings"]["grades"];
@@ -157,18 +164,19 @@
 
 // ---- Watches ----
 
-// The versions of one discovery say nothing at another, and one that is asked for changes after a version of
-// the other's may have nothing to tell.
-TEST_F(RareTest, AfterAReloadWhoseFirstCallFailsTheWholeListIsAskedFor) {
+// Generations of one discovery address mean nothing to another: asked for changes after a generation of the
+// first, the second may never send any. So the complete list is requested, also after a first call that
+// fails.
+TEST_F(SidecarEdgeCasesTest, RequestsTheCompleteListAfterAReloadWhoseFirstCallFails) {
   ScriptedServer one(io, Serves("one"));
   ScriptedServer two(io, Serves("two"));
-  Start({Entry("s-1", one.address)}, Asked);
+  Start({Entry("s-1", one.address)}, UseSubscribeMode);
   Tell(List(40, false, {}));
   int calls = 0;
   ScriptedServer other(io, [&](Peer& peer) {
     if (++calls == 1) return peer.Write(Reply("503 Service Unavailable", ""));
     const bool whole = peer.received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0) == 0;
-    peer.Write(whole ? Reply("200 OK", List(7, true, {Entry("s-2", two.address)}).dump()) : Watching());
+    peer.Write(whole ? Reply("200 OK", List(7, true, {Entry("s-2", two.address)}).dump()) : WatchHeader());
   });
   Reload(other.address);
   ASSERT_TRUE(RunUntil(io, [&] { return calls >= 3; }));
@@ -179,13 +187,14 @@
   EXPECT_EQ(two.requests(), 1);
 }
 
-// A change binds 6 s after discovery had it, whatever the settings allow after a failed call: here an hour,
-// and with so many siblings the spread alone would be half of one.
-class AskedAgain : public RareTest, public ::testing::WithParamInterface<int> {};
+// A change takes effect 6 s after discovery had it, whatever delay the settings allow after a failed call.
+// Here they allow an hour, and with the number of sidecars used here the spread of the calls alone would be
+// half an hour.
+class RetryAfterFailedCallTest : public SidecarEdgeCasesTest, public ::testing::WithParamInterface<int> {};
 
-TEST_P(AskedAgain, BeforeAChangeBindsWhateverTheSettingsAllow) {
+TEST_P(RetryAfterFailedCallTest, ComesBeforeAChangeTakesEffectWhateverTheSettingsAllow) {
   nlohmann::json json = ConfigJson(discovery.address, {});
-  Asked(json);
+  UseSubscribeMode(json);
   json["settings"]["rules"]["ask_within_us"] = 3'600'000'000;
   json["settings"]["siblings"] = GetParam();
   Config config = ParseConfig(json.dump());
@@ -197,9 +206,9 @@
   EXPECT_TRUE(RunUntil(io, [&] { return refusing.requests() >= 5; }));
 }
 
-INSTANTIATE_TEST_SUITE_P(ByFleetsOfEachSize, AskedAgain, ::testing::Values(3, 300, 14'000));
+INSTANTIATE_TEST_SUITE_P(BySidecarCount, RetryAfterFailedCallTest, ::testing::Values(3, 300, 14'000));
 
-TEST_F(RareTest, AfterALowerGenerationTheWholeListIsAskedForAlsoWhereTheModuleAsks) {
+TEST_F(SidecarEdgeCasesTest, RequestsTheCompleteListAfterALowerGenerationInSubscribeModeToo) {
   ScriptedServer one(io, Serves("one"));
   int calls = 0;
   discovery.on_data = [&](Peer& peer) {
@@ -207,10 +216,10 @@
     ++calls;
     watching = &peer;
     if (whole) return peer.Write(Reply("200 OK", List(4, true, {Entry("s-1", one.address)}).dump()));
-    peer.Write(Watching() + (calls == 1 ? Chunk(List(3, false, {}).dump() + "\n") : ""));
+    peer.Write(WatchHeader() + (calls == 1 ? Chunk(List(3, false, {}).dump() + "\n") : ""));
   };
   Start({Entry("s-gone", one.address)}, [](nlohmann::json& json) {
-    Asked(json);
+    UseSubscribeMode(json);
     json["known"]["generation"] = 41;
   });
   ASSERT_TRUE(RunUntil(io, [&] { return calls >= 3; }));
@@ -219,8 +228,8 @@
   EXPECT_NE(discovery.peers[2]->received.find("index=4 "), std::string::npos);
 }
 
-// Lists may come indented, whole or on a watch, and in any pieces.
-TEST_F(RareTest, ListsThatStandOnSeveralLinesAreReadHoweverTheyAreCut) {
+// Lists may be indented over several lines, as a complete answer or on a watch, and split at any byte.
+TEST_F(SidecarEdgeCasesTest, ReadsListsOnSeveralLinesHoweverTheyAreSplit) {
   ScriptedServer one(io, Serves("one"));
   ScriptedServer two(io, Serves("two"));
   Start({Entry("s-1", one.address)});
@@ -228,42 +237,42 @@
   const auto calls = [&] { return other.requests(); };
   Reload(other.address);
   ASSERT_TRUE(RunUntil(io, [&] { return calls() == 1; }));
-  // A name with brackets and quotes in it ends no object.
+  // A name that contains brackets and quotes must not end the object.
   const std::string whole =
       List(7, true, {Entry("s-\"}]{\\", one.address), Entry("s-1", one.address)}).dump(2) + "\n";
   other.peers[0]->Write(Reply("200 OK", whole));
   ASSERT_TRUE(RunUntil(io, [&] { return calls() == 2; }));
   EXPECT_NE(other.peers[1]->received.find("index=7 "), std::string::npos);
-  std::string pieces = Watching() + Chunk("\r\n");
+  std::string chunks = WatchHeader() + Chunk("\r\n");
   for (const char c : List(8, false, {Entry("s-2", two.address)}).dump(4) + "\n" +
                           List(9, false, {Entry("s-1", one.address, "draining")}).dump(1, '\t') + "\r\n\r\n" +
                           List(10, false, {Entry("s-\"}]{\\", one.address, "removed")}).dump())
-    pieces += Chunk(std::string(1, c));
-  other.peers[1]->Write(pieces + "0\r\n\r\n");
+    chunks += Chunk(std::string(1, c));
+  other.peers[1]->Write(chunks + "0\r\n\r\n");
   ASSERT_TRUE(RunUntil(io, [&] { return calls() == 3; }));
   EXPECT_NE(other.peers[2]->received.find("index=10 "), std::string::npos);
-  // Less is let in at once when servers go, so that some may be refused.
+  // Admission allows fewer requests right after servers are removed, so some may be refused.
   for (int i = 0; i < 40 && two.requests() < 5; ++i) Ask(Get("r" + std::to_string(i)));
-  EXPECT_EQ(one.requests(), 0);  // drained and removed
+  EXPECT_EQ(one.requests(), 0);  // draining or removed
   EXPECT_EQ(two.requests(), 5);
 }
 
-// A watch whose object never becomes whole is broken, blank lines in its middle or not.
-TEST_F(RareTest, AnObjectWithoutEndDoesNotKeepAWatch) {
+// A watch whose JSON object never becomes complete is closed, even if blank lines arrive within the object.
+TEST_F(SidecarEdgeCasesTest, ClosesAWatchWhoseObjectNeverEnds) {
   ScriptedServer one(io, Serves("one"));
   Start({Entry("s-1", one.address)});
   watching->Write(Chunk("{\"generation\":42,\n"));
   const auto watch = discovery.peers.front();
   asio::steady_timer blank(io);
-  std::function<void()> beat = [&] {
+  std::function<void()> write_blank_line = [&] {
     if (watch->ended) return;
     watch->Write(Chunk("\n"));
     blank.expires_after(100ms);
     blank.async_wait([&](ErrorCode error) {
-      if (!error) beat();
+      if (!error) write_blank_line();
     });
   };
-  beat();
+  write_blank_line();
   EXPECT_TRUE(RunUntil(
       io, [&] { return discovery.peers.size() == 2; }, 10s));
   EXPECT_TRUE(RunUntil(io, [&] { return watch->ended; }));
