--- a/src/net/body.hpp
+++ b/src/net/body.hpp
@@ -23,13 +23,13 @@
 // A source from which the part of a body that has not arrived yet is read.
 class BodySource {
  public:
-  // Receives the number of bytes read and whether they are the last of the body.
+  // Receives an error, or the number of bytes read and whether they are the last of the body.
   using Taken = std::function<void(ErrorCode, std::size_t, bool last)>;
   virtual ~BodySource() = default;
-  // Reads the next chunk into `into`. The last chunk may be empty. `taken` is called exactly once, from the
+  // Reads the next chunk into `into`. The last chunk may be empty. `handler` is called exactly once, from the
   // event loop and never before ReadSome returns, unless Stop comes first; `into` must stay valid until then.
   // Only one read may be pending.
-  virtual void ReadSome(asio::mutable_buffer into, Taken taken) = 0;
+  virtual void ReadSome(asio::mutable_buffer into, Taken handler) = 0;
   // Discards the rest of the body; a pending read is not called back.
   virtual void Stop() = 0;
 };
@@ -62,7 +62,7 @@
   };
 
   MessageWriter(std::shared_ptr<void> owner, Tcp::socket& socket, Message<kRequest> message, bool keep_alive,
-                Unframed unframed, Events events)
+                Unframed framing, Events events)
       : owner_(std::move(owner)),
         socket_(socket),
         buffered_(std::move(message.held)),
@@ -74,7 +74,7 @@
       message.length = message.length.value_or(buffered_ == nullptr ? 0 : buffered_->size());
     if (message.length) {
       message_.content_length(*message.length);
-    } else if (unframed == Unframed::kChunked) {
+    } else if (framing == Unframed::kChunked) {
       message_.chunked(true);
     }
     message_.keep_alive(keep_alive);
--- a/src/net/budget.hpp
+++ b/src/net/budget.hpp
@@ -31,9 +31,9 @@
   Charge(Charge&& other) noexcept
       : budget_(std::exchange(other.budget_, nullptr)), size_(std::exchange(other.size_, 0)) {}
   Charge& operator=(Charge&& other) noexcept {
-    Charge taken(std::move(other));
-    std::swap(budget_, taken.budget_);
-    std::swap(size_, taken.size_);
+    Charge moved(std::move(other));
+    std::swap(budget_, moved.budget_);
+    std::swap(size_, moved.size_);
     return *this;
   }
   ~Charge() {
