--- a/relay/session.cpp
+++ b/relay/session.cpp
@@ -52,13 +52,13 @@
 }  // namespace
 
 struct Session::Head {
-  net::beast::flat_buffer buffer{2 * net::kMostHeader};
+  net::beast::flat_buffer buffer{2 * net::kMaxHeader};
   http::request_parser<http::empty_body> parser;
 };
 
 Session::Session(Server& owner, net::Tcp::socket socket)
     : owner_(&owner), socket_(std::move(socket)), head_(std::make_unique<Head>()) {
-  head_->parser.header_limit(net::kMostHeader);
+  head_->parser.header_limit(net::kMaxHeader);
 }
 
 Session::~Session() = default;
--- a/scale/discovery_connection.hpp
+++ b/scale/discovery_connection.hpp
@@ -85,7 +85,7 @@
       512;  // frames; a watch that reads more slowly than that is reset
 
   struct Inbox {
-    boost::beast::flat_buffer buffer{net::kMostHeader};
+    boost::beast::flat_buffer buffer{net::kMaxHeader};
     net::http::request_parser<net::http::empty_body> parser;
   };
 
--- a/scale/server_stand_in.cpp
+++ b/scale/server_stand_in.cpp
@@ -98,7 +98,7 @@
   // Before its work has begun.
   void Decline(http::status status) {
     ++state_->counts.declined;
-    net::HttpResponse response = net::Plain(status, "turned away\n");
+    net::HttpResponse response = net::PlainTextResponse(status, "turned away\n");
     response.set(net::kDeclinedHeader, "1");
     Write(std::move(response));
   }
@@ -108,7 +108,7 @@
     ++state_->counts.taken;
     if (request_.count(net::kIdHeader) == 0) {
       ++state_->counts.invalid;
-      return Write(net::Plain(http::status::not_found, "no Req-Id\n"));
+      return Write(net::PlainTextResponse(http::status::not_found, "no Req-Id\n"));
     }
     const auto seconds = net::ParseDecimal(net::ToStringView(request_[net::kDeadlineHeader]));
     deadline_ = seconds
@@ -139,8 +139,8 @@
   void Answer(bool good) {
     --state_->held;
     ++(good ? state_->counts.served : state_->counts.failed);
-    Write(good ? net::Plain(http::status::ok, std::string(state_->settings.body, 'x'))
-               : net::Plain(http::status::internal_server_error, "the next service failed\n"));
+    Write(good ? net::PlainTextResponse(http::status::ok, std::string(state_->settings.body, 'x'))
+               : net::PlainTextResponse(http::status::internal_server_error, "the next service failed\n"));
   }
   void Write(net::HttpResponse response) {
     response.set(net::kLoadHeader, state_->Load());
--- a/src/net/body.hpp
+++ b/src/net/body.hpp
@@ -24,29 +24,29 @@
 class BodySource {
  public:
   // Receives an error, or the number of bytes read and whether they are the last of the body.
-  using Taken = std::function<void(ErrorCode, std::size_t, bool last)>;
+  using ReadHandler = std::function<void(ErrorCode, std::size_t, bool last)>;
   virtual ~BodySource() = default;
   // Reads the next chunk into `into`. The last chunk may be empty. `handler` is called exactly once, from the
   // event loop and never before ReadSome returns, unless Stop comes first; `into` must stay valid until then.
   // Only one read may be pending.
-  virtual void ReadSome(asio::mutable_buffer into, Taken handler) = 0;
+  virtual void ReadSome(asio::mutable_buffer into, ReadHandler handler) = 0;
   // Discards the rest of the body; a pending read is not called back.
   virtual void Stop() = 0;
 };
-using BodyPtr = std::shared_ptr<BodySource>;
-using HeldBody = std::shared_ptr<const std::string>;
+using BodySourcePtr = std::shared_ptr<BodySource>;
+using BufferedBody = std::shared_ptr<const std::string>;
 
 // A message whose body is buffered completely, or whose buffered beginning is followed by chunks of a source.
 template <bool kRequest>
 struct Message {
   http::header<kRequest> head;                         // without framing, which the writer adds
-  HeldBody held;                                       // the buffered beginning; null if there is none
-  BodyPtr rest;                                        // source of what follows; null if `held` is all
+  BufferedBody buffered;                               // the buffered beginning; null if there is none
+  BodySourcePtr remaining;                             // source of what follows; null if `buffered` is all
   std::optional<std::uint64_t> length = std::nullopt;  // of the complete body, if it is known
 };
 
 // Framing of a body whose length is unknown.
-enum class Unframed { kChunked, kUntilClose };
+enum class UnknownLengthFraming { kChunked, kUntilClose };
 
 // Writes one message to a socket. The creator keeps the writer until `done` is called, or calls Stop before
 // it releases it. Pending operations hold a reference to the writer, and through it to the owner of the
@@ -55,18 +55,18 @@
 class MessageWriter : public std::enable_shared_from_this<MessageWriter<kRequest>> {
  public:
   struct Events {
-    std::function<void()> drawn = nullptr;     // before the first read from the source
-    std::function<void()> progress = nullptr;  // a chunk has been read or written
+    std::function<void()> body_consumed = nullptr;  // before the first read from the source
+    std::function<void()> progress = nullptr;       // a chunk has been read or written
     // The message has been written, or writing failed; `source_failed` tells a failure to read the body.
     std::function<void(ErrorCode, bool source_failed)> done;
   };
 
   MessageWriter(std::shared_ptr<void> owner, Tcp::socket& socket, Message<kRequest> message, bool keep_alive,
-                Unframed framing, Events events)
+                UnknownLengthFraming framing, Events events)
       : owner_(std::move(owner)),
         socket_(socket),
-        buffered_(std::move(message.held)),
-        remaining_(std::move(message.rest)),
+        buffered_(std::move(message.buffered)),
+        remaining_(std::move(message.remaining)),
         events_(std::move(events)),
         message_(std::move(message.head)),
         serializer_(message_) {
@@ -74,7 +74,7 @@
       message.length = message.length.value_or(buffered_ == nullptr ? 0 : buffered_->size());
     if (message.length) {
       message_.content_length(*message.length);
-    } else if (framing == Unframed::kChunked) {
+    } else if (framing == UnknownLengthFraming::kChunked) {
       message_.chunked(true);
     }
     message_.keep_alive(keep_alive);
@@ -90,7 +90,7 @@
   }
 
   // Whether the writer waits for the source, and not for the receiver.
-  bool drawing() const { return waiting_for_source_; }
+  bool waiting_for_source() const { return waiting_for_source_; }
 
  private:
   // Passes the next chunk of the body to the serializer.
@@ -113,9 +113,9 @@
     if (error || serializer_.is_done()) return End(error, /*source_failed=*/false);
     if (events_.progress) events_.progress();
     if (chunk_ == nullptr) {
-      chunk_ = std::make_unique<std::array<char, kPiece>>();
+      chunk_ = std::make_unique<std::array<char, kChunkSize>>();
       buffered_.reset();
-      if (events_.drawn) std::exchange(events_.drawn, nullptr)();
+      if (events_.body_consumed) std::exchange(events_.body_consumed, nullptr)();
       if (!events_.done) return;  // the callback has called Stop
     }
     waiting_for_source_ = true;
@@ -146,12 +146,12 @@
 
   const std::shared_ptr<void> owner_;
   Tcp::socket& socket_;
-  HeldBody buffered_;
-  BodyPtr remaining_;
+  BufferedBody buffered_;
+  BodySourcePtr remaining_;
   Events events_;
   http::message<kRequest, http::buffer_body> message_;
   http::serializer<kRequest, http::buffer_body> serializer_;
-  std::unique_ptr<std::array<char, kPiece>> chunk_;
+  std::unique_ptr<std::array<char, kChunkSize>> chunk_;
   bool waiting_for_source_ = false;
 };
 
@@ -159,7 +159,7 @@
 // `buffer`. Returns at the end of the header, so that the caller can check it, and when `into` is full. The
 // result is the number of bytes written to `into`.
 template <typename Parser, typename Buffer>
-std::size_t Feed(Parser& parser, Buffer& buffer, asio::mutable_buffer into, ErrorCode& error) {
+std::size_t FeedParser(Parser& parser, Buffer& buffer, asio::mutable_buffer into, ErrorCode& error) {
   auto& body = parser.get().body();
   body.data = into.data();
   body.size = into.size();
--- a/src/net/counters.hpp
+++ b/src/net/counters.hpp
@@ -12,61 +12,61 @@
 class Counters {
  public:
   // How a request ended.
-  enum class End { kServed, kRefused, kFailed, kClientGone };
+  enum class FinalStatus { kServed, kRefused, kFailed, kClientDisconnected };
   // The counters of one request class.
-  struct Class {
-    std::uint64_t taken = 0;
+  struct ClassCounts {
+    std::uint64_t started = 0;
     std::uint64_t served = 0;
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
-    std::uint64_t gone = 0;  // the client disconnected before it had its answer
+    std::uint64_t disconnected = 0;  // the client disconnected before it had its answer
 
-    std::uint64_t ended() const { return served + refused + failed + gone; }
+    std::uint64_t finished() const { return served + refused + failed + disconnected; }
   };
 
   explicit Counters(std::size_t classes) : classes_(classes) {}
 
-  // Counts a new request of a known class. Finish must follow exactly once.
-  void Take(std::size_t request_class) {
-    ++classes_[request_class].taken;
-    ++open_;
+  // Counts a new request of a known class. FinishRequest must follow exactly once.
+  void StartRequest(std::size_t request_class) {
+    ++classes_[request_class].started;
+    ++in_progress_;
   }
-  void Finish(std::size_t request_class, End end) {
-    Class& counts = classes_[request_class];
-    --open_;
-    switch (end) {
-      case End::kServed:
+  void FinishRequest(std::size_t request_class, FinalStatus status) {
+    ClassCounts& counts = classes_[request_class];
+    --in_progress_;
+    switch (status) {
+      case FinalStatus::kServed:
         ++counts.served;
         return;
-      case End::kRefused:
+      case FinalStatus::kRefused:
         ++counts.refused;
         return;
-      case End::kFailed:
+      case FinalStatus::kFailed:
         ++counts.failed;
         return;
-      case End::kClientGone:
-        ++counts.gone;
+      case FinalStatus::kClientDisconnected:
+        ++counts.disconnected;
         return;
     }
   }
   // Counts an attempt whose request has been written to a server completely.
   void CountAttempt() { ++attempts_; }
 
-  const std::vector<Class>& classes() const { return classes_; }
+  const std::vector<ClassCounts>& classes() const { return classes_; }
   std::uint64_t attempts() const { return attempts_; }
   // Requests that have started and not finished.
-  std::size_t open() const { return open_; }
+  std::size_t in_progress() const { return in_progress_; }
   // Requests of all classes since the start of the process.
-  std::uint64_t taken() const {
+  std::uint64_t started() const {
     std::uint64_t sum = 0;
-    for (const Class& counts : classes_) sum += counts.taken;
+    for (const ClassCounts& counts : classes_) sum += counts.started;
     return sum;
   }
 
  private:
-  std::vector<Class> classes_;
+  std::vector<ClassCounts> classes_;
   std::uint64_t attempts_ = 0;
-  std::size_t open_ = 0;
+  std::size_t in_progress_ = 0;
 };
 
 }  // namespace merlinrun::net
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -170,7 +170,7 @@
   const Clock::time_point began_;
   Micros answer_timeout_ = 0;  // from began_ to the header of the answer
   beast::tcp_stream tcp_;
-  beast::flat_buffer buffer_{kMostUnparsed};
+  beast::flat_buffer buffer_{kMaxUnparsed};
   http::request<http::empty_body> request_;
   http::response_parser<http::buffer_body> parser_;
   std::array<char, kReadSize> chunk_{};
--- a/src/net/idle.hpp
+++ b/src/net/idle.hpp
@@ -20,7 +20,7 @@
  public:
   // Records the outcome of a request on a connection that had been idle for `idle` before it (0 = a new
   // connection). `lost` means that the connection broke before the first byte of the answer.
-  void Count(Micros idle, bool lost, Micros now) {
+  void Record(Micros idle, bool lost, Micros now) {
     if (now >= limit_until_) LiftLimit();
     const double sample = lost ? 1 : 0;
     if (idle <= 0) return Average(fresh_loss_, sample);
--- a/src/net/inbound.cpp
+++ b/src/net/inbound.cpp
@@ -34,8 +34,8 @@
 struct IncomingRequest {
   IncomingRequest() {
     parser.eager(false);  // stop after the header, which is checked before any of the body is parsed
-    parser.header_limit(kMostHeader);
-    parser.body_limit(kMostBody);
+    parser.header_limit(kMaxHeader);
+    parser.body_limit(kMaxBody);
   }
 
   http::request_parser<http::buffer_body> parser;
@@ -81,25 +81,26 @@
   // See Inbound::Respond and Inbound::Reject.
   void Respond(Reply reply) {
     if (state_ != State::kInProgress) {
-      if (reply.message.rest != nullptr) reply.message.rest->Stop();
-      if (reply.done) reply.done(Sent::kClientGone);
+      if (reply.message.remaining != nullptr) reply.message.remaining->Stop();
+      if (reply.done) reply.done(Delivery::kClientDisconnected);
       return;
     }
     EnterState(State::kWriting);
     // Whatever has not arrived of the request's body is discarded from now on.
     const bool body_unread = std::exchange(body_pending_, false);
-    max_lingering_bytes_ = body_unread ? kMostBody : kMaxLingeringBytes;
-    const Unframed framing = version_ < 11 ? Unframed::kUntilClose : Unframed::kChunked;
-    const bool delimited =
-        reply.message.rest == nullptr || reply.message.length || framing == Unframed::kChunked;
+    max_lingering_bytes_ = body_unread ? kMaxBody : kMaxLingeringBytes;
+    const UnknownLengthFraming framing =
+        version_ < 11 ? UnknownLengthFraming::kUntilClose : UnknownLengthFraming::kChunked;
+    const bool delimited = reply.message.remaining == nullptr || reply.message.length ||
+                           framing == UnknownLengthFraming::kChunked;
     keep_alive_ = keep_alive_ && !owner_.draining_ && !body_unread && delimited;
     reply.message.head.version(11);
     if (head_only_ && !reply.message.length)
-      reply.message.length = reply.message.held == nullptr ? 0 : reply.message.held->size();
-    if (head_only_) reply.message.held = nullptr;
+      reply.message.length = reply.message.buffered == nullptr ? 0 : reply.message.buffered->size();
+    if (head_only_) reply.message.buffered = nullptr;
     done_ = std::move(reply.done);
-    answer_memory_ = std::move(reply.charge);
-    streams_answer_ = reply.message.rest != nullptr;
+    answer_memory_ = std::move(reply.reservation);
+    streams_answer_ = reply.message.remaining != nullptr;
     MessageWriter<false>::Events events;
     if (streams_answer_) events.progress = [this] { timeout_start_ = Clock::now(); };
     events.done = [this](ErrorCode error, bool source_failed) { OnWritten(error, source_failed); };
@@ -112,12 +113,12 @@
     if (state_ != State::kInProgress && state_ != State::kReading) return;
     state_ = State::kInProgress;
     keep_alive_ = false;
-    HttpResponse response = Plain(rejection.status, rejection.text);
+    HttpResponse response = PlainTextResponse(rejection.status, rejection.text);
     // The lack of connections or memory may end soon.
     if (rejection.status == http::status::service_unavailable) response.set(http::field::retry_after, "0.2");
     if (rejection.status == http::status::method_not_allowed && rejection.allow != nullptr)
       response.set(http::field::allow, rejection.allow);
-    Respond(Whole(std::move(response)));
+    Respond(MakeReply(std::move(response)));
   }
 
   // Whether the client has closed or reset its connection while its request is in progress. Input that it
@@ -142,17 +143,18 @@
     switch (state_) {
       case State::kReading:
         if (incoming_->started) {
-          if (TimedOut(now, limits.request + BodyAllowance())) Reject(RequestTimeout());
-        } else if (TimedOut(now, fresh_ ? limits.request : limits.idle_timeout) && Idle()) {
+          if (TimedOut(now, limits.request_timeout + BodyAllowance())) Reject(RequestTimeout());
+        } else if (TimedOut(now, fresh_ ? limits.request_timeout : limits.idle_timeout) && Idle()) {
           Close();
         }
         return;
       case State::kInProgress:  // no timeout here, unless the client owes more of the body
         if (PeerClosed()) return OnDisconnect();
-        if (on_chunk_ && TimedOut(now, limits.request + BodyAllowance())) AbortUpload(RequestTimeout());
+        if (on_chunk_ && TimedOut(now, limits.request_timeout + BodyAllowance()))
+          AbortUpload(RequestTimeout());
         return;
       case State::kWriting:
-        if (!(streams_answer_ && writer_ != nullptr && writer_->drawing()) &&
+        if (!(streams_answer_ && writer_ != nullptr && writer_->waiting_for_source()) &&
             TimedOut(now, limits.answer_timeout))
           Close();
         return;
@@ -169,7 +171,7 @@
     if (state_ == State::kClosed) return;
     Abandon();
     owner_.Remove(*this);
-    if (done_) std::exchange(done_, nullptr)(Sent::kClientGone);
+    if (done_) std::exchange(done_, nullptr)(Delivery::kClientDisconnected);
   }
 
   // Closes without reporting to the owner, which is being destroyed. Pending handlers find the session
@@ -186,7 +188,7 @@
 
   // ---- BodySource: the part of the request's body that has not arrived yet ----
 
-  void ReadSome(asio::mutable_buffer into, Taken on_chunk) override {
+  void ReadSome(asio::mutable_buffer into, ReadHandler on_chunk) override {
     // The time that the receiver took to write the previous chunk doesn't count against the client.
     timeout_start_ += Clock::now() - chunk_passed_at_;
     chunk_buffer_ = into;
@@ -246,9 +248,9 @@
   void OnDisconnect() {
     const auto self = shared_from_this();
     const bool in_progress = state_ == State::kInProgress;
-    const Taken on_chunk = std::exchange(on_chunk_, nullptr);
+    const ReadHandler on_chunk = std::exchange(on_chunk_, nullptr);
     Close();
-    if (in_progress && !request_id_.empty()) owner_.events_.on_gone(request_id_);
+    if (in_progress && !request_id_.empty()) owner_.events_.on_client_disconnected(request_id_);
     if (on_chunk) on_chunk(asio::error::connection_aborted, 0, true);
   }
 
@@ -268,14 +270,14 @@
   void Parse() {
     auto& parser = incoming_->parser;
     std::array<char, kReadSize> chunk;
-    while (buffer_.size() > 0 && !parser.is_done() && incoming_->buffered_body.size() < kMostHeld) {
+    while (buffer_.size() > 0 && !parser.is_done() && incoming_->buffered_body.size() < kMaxBufferedBody) {
       // On a reused connection the timeout runs from the request's first byte, on a new one from its accept.
       if (!std::exchange(incoming_->started, true) && !fresh_) timeout_start_ = Clock::now();
       const bool had_header = parser.is_header_done();
       const std::size_t before = buffer_.size();
-      const std::size_t room = std::min(chunk.size(), kMostHeld - incoming_->buffered_body.size());
+      const std::size_t room = std::min(chunk.size(), kMaxBufferedBody - incoming_->buffered_body.size());
       ErrorCode error;
-      const std::size_t n = Feed(parser, buffer_, asio::buffer(chunk.data(), room), error);
+      const std::size_t n = FeedParser(parser, buffer_, asio::buffer(chunk.data(), room), error);
       if (error) return Reject(RejectionFor(error));
       if (!had_header && parser.is_header_done() && !AcceptHeader()) return;
       incoming_->buffered_body.append(chunk.data(), n);
@@ -283,8 +285,8 @@
       if (buffer_.size() == before) break;  // more input is needed
     }
     if (buffer_.size() == 0)
-      buffer_ = beast::flat_buffer(kMostUnparsed);  // frees the memory of an idle connection
-    if (parser.is_done() || incoming_->buffered_body.size() >= kMostHeld) Dispatch();
+      buffer_ = beast::flat_buffer(kMaxUnparsed);  // frees the memory of an idle connection
+    if (parser.is_done() || incoming_->buffered_body.size() >= kMaxBufferedBody) Dispatch();
   }
 
   static Rejection RejectionFor(ErrorCode error) {
@@ -303,10 +305,11 @@
     version_ = header.version();
     if (const auto rejection = CheckRequest(header)) return Reject(*rejection), false;
     const std::uint64_t size =
-        parser.chunked() ? kMostBody : static_cast<std::uint64_t>(parser.content_length().value_or(0));
-    const std::size_t cost = size > kMostHeld ? kMostHeld + kStreamCost : static_cast<std::size_t>(size);
-    if (!request_memory_.Take(owner_.budget_, cost)) {
-      if (owner_.events_.on_turned_away) owner_.events_.on_turned_away(header);
+        parser.chunked() ? kMaxBody : static_cast<std::uint64_t>(parser.content_length().value_or(0));
+    const std::size_t cost =
+        size > kMaxBufferedBody ? kMaxBufferedBody + kStreamingMemory : static_cast<std::size_t>(size);
+    if (!request_memory_.Reserve(owner_.budget_, cost)) {
+      if (owner_.events_.on_memory_exhausted) owner_.events_.on_memory_exhausted(header);
       return Reject({http::status::service_unavailable, "out of memory for requests\n"}), false;
     }
     // The client sends its body only after a 100 Continue. The socket's send buffer has room for it, because
@@ -326,8 +329,8 @@
     if (header.target() == kReadyPath) {
       request_id_.clear();
       const bool ready = !owner_.draining_ && owner_.events_.ready();
-      return Respond(Whole(Plain(ready ? http::status::ok : http::status::service_unavailable,
-                                 ready ? "ready\n" : "not yet\n")));
+      return Respond(MakeReply(PlainTextResponse(ready ? http::status::ok : http::status::service_unavailable,
+                                                 ready ? "ready\n" : "not yet\n")));
     }
     request_id_ = std::string(ToStringView(header[kIdHeader]));
     Message<true> request;
@@ -337,9 +340,9 @@
     if (length) request.length = *length;
     incoming_->buffered_body.shrink_to_fit();
     if (!incoming_->buffered_body.empty())
-      request.held = std::make_shared<const std::string>(std::move(incoming_->buffered_body));
+      request.buffered = std::make_shared<const std::string>(std::move(incoming_->buffered_body));
     incoming_->buffered_body = {};
-    if (body_pending_) request.rest = shared_from_this();
+    if (body_pending_) request.remaining = shared_from_this();
     chunk_passed_at_ = Clock::now();
     try {
       owner_.events_.on_request(shared_from_this(), std::move(request));
@@ -355,7 +358,7 @@
     if (state_ != State::kInProgress)
       return std::exchange(on_chunk_, nullptr)(asio::error::connection_aborted, 0, true);
     ErrorCode error;
-    const std::size_t n = Feed(incoming_->parser, buffer_, chunk_buffer_, error);
+    const std::size_t n = FeedParser(incoming_->parser, buffer_, chunk_buffer_, error);
     if (error) return AbortUpload(RejectionFor(error));
     incoming_->body_received += n;
     const bool over = incoming_->parser.is_done();
@@ -369,8 +372,8 @@
   // The rest of the body is invalid or late, and its request may have been sent to a server already.
   void AbortUpload(const Rejection& rejection) {
     const auto self = shared_from_this();
-    const Taken on_chunk = std::exchange(on_chunk_, nullptr);
-    owner_.events_.on_gone(request_id_);
+    const ReadHandler on_chunk = std::exchange(on_chunk_, nullptr);
+    owner_.events_.on_client_disconnected(request_id_);
     if (on_chunk) on_chunk(asio::error::connection_aborted, 0, true);
     body_pending_ = false;
     Reject(rejection);
@@ -379,10 +382,10 @@
   void OnWritten(ErrorCode error, bool source_failed) {
     if (state_ == State::kClosed) return;
     writer_.reset();
-    if (done_ && !error) std::exchange(done_, nullptr)(Sent::kWhole);
+    if (done_ && !error) std::exchange(done_, nullptr)(Delivery::kComplete);
     if (source_failed) {
       // Reset the connection, so that the client sees a truncated answer whatever its framing.
-      if (done_) std::exchange(done_, nullptr)(Sent::kBroken);
+      if (done_) std::exchange(done_, nullptr)(Delivery::kTruncated);
       ErrorCode ignored;
       socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     }
@@ -405,23 +408,23 @@
     ErrorCode error;
     socket_.shutdown(Tcp::socket::shutdown_send, error);
     if (error) return Close();
-    buffer_ = beast::flat_buffer(kMostUnparsed);
+    buffer_ = beast::flat_buffer(kMaxUnparsed);
     Read();
   }
 
   Inbound& owner_;
   Tcp::socket socket_;
-  beast::flat_buffer buffer_{kMostUnparsed};
+  beast::flat_buffer buffer_{kMaxUnparsed};
   std::optional<IncomingRequest> incoming_;
   std::shared_ptr<MessageWriter<false>> writer_;
-  std::function<void(Sent)> done_;
+  std::function<void(Delivery)> done_;
   std::string request_id_;  // id of the request in progress
-  Charge request_memory_;
-  Charge answer_memory_;
+  MemoryReservation request_memory_;
+  MemoryReservation answer_memory_;
   State state_ = State::kReading;
   Clock::time_point timeout_start_;    // when the timeout of the current state began
   asio::mutable_buffer chunk_buffer_;  // where a pending read of the body puts the next chunk ...
-  Taken on_chunk_;                     // ... and its callback; null if no read is pending
+  ReadHandler on_chunk_;               // ... and its callback; null if no read is pending
   Clock::time_point chunk_passed_at_;  // when the last chunk of the body was handed over
   std::size_t lingered_bytes_ = 0;     // input discarded while the connection is being closed
   std::size_t max_lingering_bytes_ = kMaxLingeringBytes;
@@ -435,7 +438,7 @@
 };
 
 Inbound::Inbound(asio::io_context& io, const Tcp::endpoint& address, std::optional<int> inherited,
-                 Limits limits, Budget& budget, Events events)
+                 Limits limits, MemoryBudget& budget, Events events)
     : io_(io),
       limits_(limits),
       budget_(budget),
@@ -454,10 +457,10 @@
   for (const SessionPtr& session : sessions_) session->Abandon();
 }
 
-Inbound::Reply Inbound::Whole(HttpResponse response) {
+Inbound::Reply Inbound::MakeReply(HttpResponse response) {
   Reply reply;
   reply.message.head = std::move(response.base());
-  reply.message.held = std::make_shared<const std::string>(std::move(response.body()));
+  reply.message.buffered = std::make_shared<const std::string>(std::move(response.body()));
   return reply;
 }
 
@@ -465,7 +468,7 @@
 
 void Inbound::Reject(const SessionPtr& session, const Rejection& rejection) { session->Reject(rejection); }
 
-bool Inbound::ClientLeft(const SessionPtr& session) {
+bool Inbound::ClientDisconnected(const SessionPtr& session) {
   if (!session->PeerClosed()) return false;
   session->ReportDisconnectLater();
   return true;
@@ -495,9 +498,9 @@
 // Connections are accepted even at the limit, and rejected with 503. If accepting stopped, clients would wait
 // in the backlog without any answer.
 void Inbound::Add(Tcp::socket socket) {
-  if (sessions_.size() >= std::min(limits_.soft_max_sessions, limits_.sessions)) MakeRoom();
-  const bool below_limit = sessions_.size() < limits_.sessions;
-  if (sessions_.size() >= limits_.sessions + kMaxRejectedSessions) return;  // closes the socket
+  if (sessions_.size() >= std::min(limits_.soft_max_sessions, limits_.max_sessions)) MakeRoom();
+  const bool below_limit = sessions_.size() < limits_.max_sessions;
+  if (sessions_.size() >= limits_.max_sessions + kMaxRejectedSessions) return;  // closes the socket
   ErrorCode error;
   socket.set_option(Tcp::no_delay(true), error);
   socket.non_blocking(true, error);
@@ -582,7 +585,7 @@
     if (session->Idle() && session->TimedOut(now, session->Unused() ? unused : reused)) session->Close();
 }
 
-void Inbound::KeepAtMost(std::size_t sessions) {
+void Inbound::SetSoftLimit(std::size_t sessions) {
   limits_.soft_max_sessions = sessions;
   while (sessions_.size() > limits_.soft_max_sessions && MakeRoom()) continue;
 }
--- a/src/net/inbound.hpp
+++ b/src/net/inbound.hpp
@@ -30,14 +30,14 @@
 
   struct Limits {
     // Maximum number of connections; a few more exist briefly while they are answered with 503.
-    std::size_t sessions = 256;
+    std::size_t max_sessions = 256;
     // Above this number a new connection closes an idle one, if there is one.
     std::size_t soft_max_sessions = SIZE_MAX;
     // Timeouts, in microseconds. Each runs from a point that the client cannot move, so a client that sends
     // or reads a few bytes at a time does not extend it.
     // For the header of a request: from the start of its connection, or from the request's first byte on a
     // connection that has already served one.
-    Micros request = 2'500'000;
+    Micros request_timeout = 2'500'000;
     // For the client to read its answer, or the next chunk of a streamed one.
     Micros answer_timeout = 5'000'000;
     // For a persistent connection between requests.
@@ -48,7 +48,7 @@
     Micros linger_timeout = 1'000'000;
     // Interval between two checks of the timeouts.
     Micros sweep_interval = 200'000;
-    // Minimum rate of a request's body, in bytes per second; it extends `request`.
+    // Minimum rate of a request's body, in bytes per second; it extends request_timeout.
     std::size_t min_body_rate = 48'000;
   };
   struct Events {
@@ -57,9 +57,9 @@
     std::function<void(const SessionPtr&, Message<true>)> on_request;
     // The client disconnected while its request was in progress, or the rest of its body was invalid or late.
     // `request` is the request's id.
-    std::function<void(const std::string& request)> on_gone;
+    std::function<void(const std::string& request)> on_client_disconnected;
     // A valid request has been answered with 503 because the memory limit leaves no room for its body.
-    std::function<void(const RequestHeader&)> on_turned_away;
+    std::function<void(const RequestHeader&)> on_memory_exhausted;
     // Whether GET /ready is answered with 200.
     std::function<bool()> ready;
   };
@@ -68,28 +68,28 @@
   // `inherited` is a listening descriptor that other processes may share. If set, it is used in place of the
   // address, and closed by StopAccepting or the destructor.
   Inbound(asio::io_context& io, const Tcp::endpoint& address, std::optional<int> inherited, Limits limits,
-          Budget& budget, Events events);
+          MemoryBudget& budget, Events events);
   ~Inbound();
   Inbound(const Inbound&) = delete;
   Inbound& operator=(const Inbound&) = delete;
 
   // What became of an answer: written completely, cut short because its source failed, or not delivered
   // because the client disconnected.
-  enum class Sent { kWhole, kBroken, kClientGone };
+  enum class Delivery { kComplete, kTruncated, kClientDisconnected };
   struct Reply {
     Message<false> message;
-    Charge charge;                   // memory of the answer, released once it is written
-    std::function<void(Sent)> done;  // called when the answer is written or has failed; may be empty
+    MemoryReservation reservation;       // memory of the answer, released once it is written
+    std::function<void(Delivery)> done;  // called when the answer is written or has failed; may be empty
   };
   // A reply whose body is buffered completely.
-  static Reply Whole(HttpResponse response);
+  static Reply MakeReply(HttpResponse response);
   // Answers the session's request, with keep-alive where possible.
   static void Respond(const SessionPtr& session, Reply reply);
   // Answers an invalid request and closes its connection: the bytes behind it cannot be parsed reliably.
   static void Reject(const SessionPtr& session, const Rejection& rejection);
-  // Whether the client of the session's request has closed its connection. If so, on_gone is called soon
-  // after.
-  static bool ClientLeft(const SessionPtr& session);
+  // Whether the client of the session's request has closed its connection. If so, on_client_disconnected is
+  // called soon after.
+  static bool ClientDisconnected(const SessionPtr& session);
 
   // From now on each connection is closed after its next answer.
   void Drain();
@@ -100,7 +100,7 @@
   // sent nothing since they were accepted for at least `unused`.
   void CloseIdle(Micros reused, Micros unused);
   // Sets the number of connections above which idle ones are closed, at once and on each new connection.
-  void KeepAtMost(std::size_t sessions);
+  void SetSoftLimit(std::size_t sessions);
 
   // Open connections, including those that are being rejected or closed.
   std::size_t sessions() const { return sessions_.size(); }
@@ -118,7 +118,7 @@
 
   asio::io_context& io_;
   Limits limits_;
-  Budget& budget_;
+  MemoryBudget& budget_;
   const Events events_;
   const bool inherited_;
   Tcp::acceptor acceptor_;
@@ -128,7 +128,7 @@
   bool sweep_scheduled_ = false;
   bool draining_ = false;
   // Read buffer that all sessions share; it is empty between two handlers.
-  std::array<char, kPiece> input_{};
+  std::array<char, kChunkSize> input_{};
   std::list<SessionPtr> sessions_;  // in the order of their last answer (or start), oldest first
 };
 
--- a/src/net/protocol.hpp
+++ b/src/net/protocol.hpp
@@ -20,33 +20,33 @@
 using HttpResponse = http::response<http::string_body>;
 
 // Maximum length of a message body.
-inline constexpr std::size_t kMostBody = std::size_t{32} << 20;
+inline constexpr std::size_t kMaxBody = std::size_t{32} << 20;
 // Bodies up to this length are buffered completely: such a request can be retried, and such an answer is
 // forwarded only after all of it has arrived. Larger bodies are streamed in chunks.
-inline constexpr std::size_t kMostHeld = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
 // Maximum length of one chunk of a streamed body.
-inline constexpr std::size_t kPiece = std::size_t{16} * 1024;
+inline constexpr std::size_t kChunkSize = std::size_t{16} * 1024;
 // Memory that streaming a body takes in addition to its buffered beginning: one chunk and one read, with
 // their overhead.
-inline constexpr std::size_t kStreamCost = 3 * kPiece;
+inline constexpr std::size_t kStreamingMemory = 3 * kChunkSize;
 // Maximum length of a message header.
-inline constexpr std::size_t kMostHeader = std::size_t{8} * 1024;
+inline constexpr std::size_t kMaxHeader = std::size_t{8} * 1024;
 inline constexpr std::size_t kReadSize = std::size_t{8} * 1024;
 // Maximum of unparsed input that a connection buffers: one header and one read.
-inline constexpr std::size_t kMostUnparsed = kMostHeader + kPiece;
+inline constexpr std::size_t kMaxUnparsed = kMaxHeader + kChunkSize;
 
 inline constexpr const char* kIdHeader = "Req-Id";
 inline constexpr const char* kClassHeader = "Req-Kind";
 inline constexpr const char* kTenantHeader = "Req-Owner";
 inline constexpr const char* kDeadlineHeader = "Req-Deadline";
-inline constexpr const char* kRepeatHeader = "Req-Retry";
+inline constexpr const char* kRetryHeader = "Req-Retry";
 inline constexpr const char* kCostHeader = "Req-Cost";
 inline constexpr const char* kExtraHeader = "Req-Extra";
 inline constexpr const char* kIdempotencyHeader = "Idempotency-Key";
 // The request headers that the protocol defines. They are forwarded to the server; a request with one of them
 // more than once is rejected.
 inline constexpr const char* kRequestHeaders[] = {"Host",        kIdHeader,       kClassHeader,
-                                                  kTenantHeader, kDeadlineHeader, kRepeatHeader,
+                                                  kTenantHeader, kDeadlineHeader, kRetryHeader,
                                                   kCostHeader,   kExtraHeader,    kIdempotencyHeader};
 inline constexpr const char* kDeclinedHeader = "Srv-Declined";
 inline constexpr const char* kLoadHeader = "Srv-Load";
@@ -54,7 +54,7 @@
 inline constexpr const char* kReadyPath = "/ready";
 
 // Returns an HTTP/1.1 text/plain response that the sidecar generates itself.
-inline HttpResponse Plain(http::status status, std::string text) {
+inline HttpResponse PlainTextResponse(http::status status, std::string text) {
   HttpResponse response(status, 11);
   response.set(http::field::content_type, "text/plain");
   response.body() = std::move(text);
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -166,11 +166,11 @@
   events.on_request = [this](const Inbound::SessionPtr& session, Message<true> request) {
     OnRequest(session, std::move(request));
   };
-  events.on_gone = [this](const std::string& id) { OnClientDisconnected(id); };
-  events.on_turned_away = [this](const RequestHeader& header) { OnRefusedForMemory(header); };
+  events.on_client_disconnected = [this](const std::string& id) { OnClientDisconnected(id); };
+  events.on_memory_exhausted = [this](const RequestHeader& header) { OnRefusedForMemory(header); };
   events.ready = [this] { return Ready(); };
   Inbound::Limits limits;
-  limits.sessions = ClientSockets(config_);
+  limits.max_sessions = ClientSockets(config_);
   inbound_ =
       std::make_unique<Inbound>(io_, config_.listen, config_.accept_fd, limits, budget_, std::move(events));
   if (config_.management) {
@@ -200,16 +200,16 @@
 
 std::string Sidecar::StatsJson() {
   nlohmann::ordered_json stats;
-  const auto by_class = [&](const char* name, std::uint64_t Counters::Class::*count) {
+  const auto by_class = [&](const char* name, std::uint64_t Counters::ClassCounts::*count) {
     nlohmann::ordered_json& counts = stats[name] = nlohmann::ordered_json::object();
     for (std::size_t i = 0; i < config_.class_names.size(); ++i)
       counts[config_.class_names[i]] = counters_.classes()[i].*count;
   };
-  by_class("passed", &Counters::Class::served);
-  by_class("dropped", &Counters::Class::refused);
-  by_class("bad_gateway", &Counters::Class::failed);
+  by_class("passed", &Counters::ClassCounts::served);
+  by_class("dropped", &Counters::ClassCounts::refused);
+  by_class("bad_gateway", &Counters::ClassCounts::failed);
   stats["upstream_tries"] = counters_.attempts();
-  stats["in_progress"] = counters_.open();
+  stats["in_progress"] = counters_.in_progress();
   stats["known_servers"] = upstream_.known_servers();
   stats["skipped_servers"] = balancer_->servers_avoided(Now());
   return stats.dump() + "\n";
@@ -312,11 +312,11 @@
   const Micros budget = ComputeBudget(request.head, static_cast<std::size_t>(request_class));
   TraceRequest(id, "taken", [&] { return "budget " + Seconds(budget); });
 
-  counters_.Take(static_cast<std::size_t>(request_class));
+  counters_.StartRequest(static_cast<std::size_t>(request_class));
   PendingRequest& pending = pending_requests_[id];
   pending.request_class = static_cast<std::size_t>(request_class);
   pending.message = std::move(request);
-  pending.body_pending = pending.message.rest != nullptr;
+  pending.body_pending = pending.message.remaining != nullptr;
   pending.session = session;
   pending.deadline = now + (pending.body_pending ? kMaxUpload : budget);
   pending.timer = std::make_unique<asio::steady_timer>(io_);
@@ -329,7 +329,7 @@
   in.tenant = TenantIndex(ToStringView(head[kTenantHeader]));
   in.budget = budget;
   in.body_pending = pending.body_pending;
-  in.repeated = head[kRepeatHeader] == "1";
+  in.repeated = head[kRetryHeader] == "1";
   in.write = head.method() != http::verb::get;
   if (const auto cost = ParseDecimal(ToStringView(head[kCostHeader])); cost && *cost < 1e12)
     in.cost = static_cast<Micros>(*cost);
@@ -343,7 +343,7 @@
   const auto it = pending_requests_.find(id);
   if (it == pending_requests_.end()) return;
   if (std::exchange(it->second.session, nullptr) != nullptr)
-    counters_.Finish(it->second.request_class, Counters::End::kClientGone);
+    counters_.FinishRequest(it->second.request_class, Counters::FinalStatus::kClientDisconnected);
   CountUnsuccessful("left by the client");
   TraceRequest(id, "left by the client");
   balancer_->OnClientDisconnected(Now(), id);
@@ -357,8 +357,8 @@
   const LoadReport load = answer.load;
   if (result == Result::kSuccess && unanswered) {
     ForwardAnswer(it->second, std::move(answer));
-  } else if (answer.message.rest != nullptr) {
-    answer.message.rest->Stop();
+  } else if (answer.message.remaining != nullptr) {
+    answer.message.remaining->Stop();
   }
   FinishAttempt(id, attempt, result, load);
 }
@@ -402,13 +402,13 @@
   const int request_class = ClassIndex(ToStringView(header[kClassHeader]));
   CountUnsuccessful("out of memory for requests");
   if (request_class < 0) return;
-  counters_.Take(static_cast<std::size_t>(request_class));
-  counters_.Finish(static_cast<std::size_t>(request_class), Counters::End::kRefused);
+  counters_.StartRequest(static_cast<std::size_t>(request_class));
+  counters_.FinishRequest(static_cast<std::size_t>(request_class), Counters::FinalStatus::kRefused);
 }
 
-void Sidecar::Respond(PendingRequest& pending, Counters::End end, HttpResponse response) {
-  counters_.Finish(pending.request_class, end);
-  Inbound::Respond(std::exchange(pending.session, nullptr), Inbound::Whole(std::move(response)));
+void Sidecar::Respond(PendingRequest& pending, Counters::FinalStatus end, HttpResponse response) {
+  counters_.FinishRequest(pending.request_class, end);
+  Inbound::Respond(std::exchange(pending.session, nullptr), Inbound::MakeReply(std::move(response)));
 }
 
 // An answer with a streamed body is counted when its last chunk has been written.
@@ -418,18 +418,20 @@
   reply.message.head.result(http::status::ok);
   if (const auto type = answer.message.head[http::field::content_type]; !type.empty())
     reply.message.head.set(http::field::content_type, type);
-  reply.message.held = std::move(answer.message.held);
-  reply.message.rest = std::move(answer.message.rest);
+  reply.message.buffered = std::move(answer.message.buffered);
+  reply.message.remaining = std::move(answer.message.remaining);
   reply.message.length = answer.message.length;
-  reply.charge = std::move(answer.reservation);
-  if (reply.message.rest == nullptr) {
-    counters_.Finish(pending.request_class, Counters::End::kServed);
+  reply.reservation = std::move(answer.reservation);
+  if (reply.message.remaining == nullptr) {
+    counters_.FinishRequest(pending.request_class, Counters::FinalStatus::kServed);
   } else {
-    reply.done = [this, request_class = pending.request_class](Inbound::Sent sent) {
-      if (sent == Inbound::Sent::kBroken) CountUnsuccessful("failed in the middle of an answer");
-      counters_.Finish(request_class, sent == Inbound::Sent::kWhole    ? Counters::End::kServed
-                                      : sent == Inbound::Sent::kBroken ? Counters::End::kFailed
-                                                                       : Counters::End::kClientGone);
+    reply.done = [this, request_class = pending.request_class](Inbound::Delivery sent) {
+      if (sent == Inbound::Delivery::kTruncated) CountUnsuccessful("failed in the middle of an answer");
+      counters_.FinishRequest(request_class, sent == Inbound::Delivery::kComplete
+                                                 ? Counters::FinalStatus::kServed
+                                             : sent == Inbound::Delivery::kTruncated
+                                                 ? Counters::FinalStatus::kFailed
+                                                 : Counters::FinalStatus::kClientDisconnected);
     };
   }
   Inbound::Respond(std::exchange(pending.session, nullptr), std::move(reply));
@@ -452,10 +454,10 @@
     reasons += reasons.empty() ? "" : ", ";
     reasons.append(reason).append(" ").append(std::to_string(count));
   }
-  const std::uint64_t taken = counters_.taken();
+  const std::uint64_t taken = counters_.started();
   std::fprintf(stderr, "answers: requests %llu, in work %zu; %s\n",
                static_cast<unsigned long long>(taken - std::exchange(taken_at_last_log_, taken)),
-               counters_.open(), reasons.c_str());
+               counters_.in_progress(), reasons.c_str());
   unsuccessful_.clear();
 }
 
@@ -486,7 +488,8 @@
     // answer here.
     CountUnsuccessful("out of time");
     TraceRequest(id, "failed", [] { return std::string("out of time"); });
-    Respond(it->second, Counters::End::kFailed, Plain(http::status::gateway_timeout, "out of time\n"));
+    Respond(it->second, Counters::FinalStatus::kFailed,
+            PlainTextResponse(http::status::gateway_timeout, "out of time\n"));
     balancer_->OnClientDisconnected(now, id);
     return EraseIfComplete(id);
   }
@@ -503,7 +506,7 @@
 // The socket is checked too: the client may have disconnected while its request waited (in the accept queue,
 // behind another request, for a retry or for a connection) without the event loop having noticed yet.
 bool Sidecar::ClientIsWaiting(const PendingRequest& pending) {
-  return pending.session != nullptr && !Inbound::ClientLeft(pending.session);
+  return pending.session != nullptr && !Inbound::ClientDisconnected(pending.session);
 }
 
 const char* Sidecar::NotSentReason(const PendingRequest& pending) {
@@ -521,9 +524,9 @@
   for (const char* name : kRequestHeaders)
     if (const auto it = received.find(name); it != received.end()) forwarded.head.set(name, it->value());
   forwarded.head.set(kDeadlineHeader, Seconds(left));
-  forwarded.held = pending.message.held;
-  forwarded.rest = pending.message.rest;
-  if (forwarded.rest != nullptr) forwarded.length = pending.message.length;
+  forwarded.buffered = pending.message.buffered;
+  forwarded.remaining = pending.message.remaining;
+  if (forwarded.remaining != nullptr) forwarded.length = pending.message.length;
   return forwarded;
 }
 
@@ -580,8 +583,8 @@
       const auto consumed = pending_requests_.find(id);
       if (consumed == pending_requests_.end()) return;
       consumed->second.body_consumed = true;
-      consumed->second.message.held.reset();
-      consumed->second.message.rest.reset();
+      consumed->second.message.buffered.reset();
+      consumed->second.message.remaining.reset();
     };
     events.request_written = [this, id, number] { OnRequestWritten(id, number); };
   }
@@ -609,9 +612,9 @@
   if (it == pending_requests_.end() || it->second.session == nullptr) return;
   CountUnsuccessful(it->second.attempts.empty() ? "refused unsent" : "refused after attempts");
   TraceRequest(request, "refused");
-  HttpResponse response = Plain(http::status::service_unavailable, "refused\n");
+  HttpResponse response = PlainTextResponse(http::status::service_unavailable, "refused\n");
   if (retry_after > 0) response.set(http::field::retry_after, Seconds(retry_after));
-  Respond(it->second, Counters::End::kRefused, std::move(response));
+  Respond(it->second, Counters::FinalStatus::kRefused, std::move(response));
 }
 
 void Sidecar::Fail(std::string_view request) {
@@ -620,7 +623,8 @@
   const auto& attempts = it->second.attempts;
   CountUnsuccessful(FailureReason(attempts.empty() ? Result::kNeverSent : attempts.back().result));
   TraceRequest(request, "failed");
-  Respond(it->second, Counters::End::kFailed, Plain(http::status::bad_gateway, "failed\n"));
+  Respond(it->second, Counters::FinalStatus::kFailed,
+          PlainTextResponse(http::status::bad_gateway, "failed\n"));
 }
 
 void Sidecar::SetTimer(Micros delay, std::uint64_t token) {
@@ -656,8 +660,8 @@
   const SharedDir::Contents view = shared_dir_.Scan();
   if (view.other_process_alive != std::exchange(other_process_alive_, view.other_process_alive)) {
     const std::size_t processes = other_process_alive_ ? 2 : 1;
-    budget_.SetMost(config_.memory_limit / kMemoryBudgetDivisor / processes);
-    inbound_->KeepAtMost(ClientSockets(config_) / processes);
+    budget_.SetLimit(config_.memory_limit / kMemoryBudgetDivisor / processes);
+    inbound_->SetSoftLimit(ClientSockets(config_) / processes);
     upstream_.SetSoftLimit(UpstreamLimits(config_).max_connections / processes);
   }
   if (view.readable) {
@@ -702,7 +706,7 @@
   if (over || !config_.accept_fd) {
     inbound_->CloseIdle(0, 0);
   } else {
-    inbound_->CloseIdle(kIdleAfterTakeover, Inbound::Limits{}.request);
+    inbound_->CloseIdle(kIdleAfterTakeover, Inbound::Limits{}.request_timeout);
   }
   if (pending_requests_.empty() && (inbound_->sessions() == 0 || now >= drain_end_ + kAnswerReadTime))
     return std::exchange(on_drained_, nullptr)();
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -113,7 +113,7 @@
   // A valid request was refused because there was no memory left to read it.
   void OnRefusedForMemory(const RequestHeader& header);
   // Answers with a response of the sidecar's own.
-  void Respond(PendingRequest& pending, Counters::End end, HttpResponse response);
+  void Respond(PendingRequest& pending, Counters::FinalStatus end, HttpResponse response);
   // Forwards a server's successful answer to the client.
   void ForwardAnswer(PendingRequest& pending, UpstreamAnswer answer);
   // Counts a request without a successful answer, for the log. `reason` must be a string constant.
@@ -142,7 +142,7 @@
   Config config_;
   SharedDir shared_dir_;
   const Micros clock_offset_;
-  Budget budget_;  // declared before all members that reserve memory from it
+  MemoryBudget budget_;  // declared before all members that reserve memory from it
   Counters counters_;
   std::unique_ptr<Balancer> balancer_;
   Upstream upstream_;
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -151,7 +151,7 @@
 
   // ---- BodySource: the part of the answer's body that is still to be read ----
 
-  void ReadSome(asio::mutable_buffer into, Taken taken) override {
+  void ReadSome(asio::mutable_buffer into, ReadHandler taken) override {
     chunk_buffer_ = into;
     on_chunk_ = std::move(taken);
     last_progress_ = Clock::now();
@@ -197,15 +197,15 @@
     answer_started_ = false;
     last_progress_ = Clock::now();
     MessageWriter<true>::Events events;
-    if (request_->rest != nullptr) {
-      events.drawn = [this] { std::exchange(attempt_->events.body_consumed, nullptr)(); };
+    if (request_->remaining != nullptr) {
+      events.body_consumed = [this] { std::exchange(attempt_->events.body_consumed, nullptr)(); };
       events.progress = [this] { last_progress_ = Clock::now(); };
       ScheduleStallCheck();
     }
     events.done = [this](ErrorCode error, bool source_failed) { OnWritten(error, source_failed); };
-    writer_ =
-        std::make_shared<MessageWriter<true>>(shared_from_this(), socket_, std::move(*request_),
-                                              /*keep_alive=*/true, Unframed::kChunked, std::move(events));
+    writer_ = std::make_shared<MessageWriter<true>>(shared_from_this(), socket_, std::move(*request_),
+                                                    /*keep_alive=*/true, UnknownLengthFraming::kChunked,
+                                                    std::move(events));
     request_.reset();
     writer_->Start();
   }
@@ -231,7 +231,8 @@
     timer_.expires_after(std::chrono::microseconds(pool_.limits_.stall_timeout / kChecksPerTimeout));
     timer_.async_wait([self = shared_from_this()](ErrorCode stopped) {
       if (stopped || self->closed_ || !(self->writing_ || self->streaming_)) return;
-      const bool servers_turn = self->writing_ ? !self->writer_->drawing() : self->on_chunk_ != nullptr;
+      const bool servers_turn =
+          self->writing_ ? !self->writer_->waiting_for_source() : self->on_chunk_ != nullptr;
       if (!servers_turn) self->last_progress_ = Clock::now();
       if (Since(self->last_progress_) < self->pool_.limits_.stall_timeout) return self->ScheduleStallCheck();
       if (self->streaming_) return self->AbortStreaming(asio::error::timed_out);
@@ -242,7 +243,8 @@
   // A read is always pending while the connection is open, so that the peer's close is noticed at once. While
   // an answer is streamed, data is read only as its consumer asks for it.
   void Read() {
-    const std::size_t room = std::min(streaming_ ? kPiece : kReadSize, buffer_.max_size() - buffer_.size());
+    const std::size_t room =
+        std::min(streaming_ ? kChunkSize : kReadSize, buffer_.max_size() - buffer_.size());
     if (room == 0)
       return streaming_ ? AbortStreaming(http::error::buffer_overflow)
                         : Fail(Result::kReset, FailureCause::kUnreadableAnswer);
@@ -259,7 +261,7 @@
     if (!attempt_) return Close();  // data without a request
     // Data that arrives before the request has been written completely cannot be its answer.
     if (writing_) return AbortWrite(FailureCause::kEarlyAnswer);
-    if (!std::exchange(answer_started_, true)) pool_.idle_limit_.Count(idle_before_, /*lost=*/false, Now());
+    if (!std::exchange(answer_started_, true)) pool_.idle_limit_.Record(idle_before_, /*lost=*/false, Now());
     // An invalid answer counts as a lost one: the request may have run.
     if (!Parse()) return Fail(Result::kReset, FailureCause::kUnreadableAnswer);
     if (parser_->is_done()) return Complete();
@@ -271,8 +273,8 @@
     buffered_body_ = {};
     parser_.emplace();
     parser_->eager(false);  // stops after the header, which is checked before the body is parsed
-    parser_->header_limit(kMostHeader);
-    parser_->body_limit(kMostBody);
+    parser_->header_limit(kMaxHeader);
+    parser_->body_limit(kMaxBody);
   }
 
   // How much of the answer's body is buffered before it is forwarded. A body that is known to be small is
@@ -280,8 +282,8 @@
   // unknown length only the first chunk is buffered, so that the answer is not delayed.
   std::size_t MaxBuffered() const {
     const auto length = parser_->content_length();
-    if (!length) return kPiece;
-    return *length > kMostHeld ? 0 : static_cast<std::size_t>(*length);
+    if (!length) return kChunkSize;
+    return *length > kMaxBufferedBody ? 0 : static_cast<std::size_t>(*length);
   }
 
   // Parses what has been received. Returns false if the answer is invalid.
@@ -292,7 +294,7 @@
       const std::size_t before = buffer_.size();
       const std::size_t room = had_header ? std::min(chunk.size(), MaxBuffered() - buffered_body_.size()) : 0;
       ErrorCode error;
-      const std::size_t n = Feed(*parser_, buffer_, asio::buffer(chunk.data(), room), error);
+      const std::size_t n = FeedParser(*parser_, buffer_, asio::buffer(chunk.data(), room), error);
       if (error) return false;
       buffered_body_.append(chunk.data(), n);
       if (!had_header && parser_->is_header_done() && !TakeHeader()) return false;
@@ -314,8 +316,8 @@
     }
     const std::size_t max_buffered = MaxBuffered();
     const auto length = parser_->content_length();
-    return reservation_.Take(pool_.budget_,
-                             length && *length <= max_buffered ? max_buffered : max_buffered + kStreamCost);
+    return reservation_.Reserve(
+        pool_.budget_, length && *length <= max_buffered ? max_buffered : max_buffered + kStreamingMemory);
   }
 
   // The peer closed or reset the connection.
@@ -332,7 +334,7 @@
   // and OnWritten then tells whether the request's last byte was sent. If the writer is waiting for more of
   // the body, the request is incomplete for certain.
   void AbortWrite(FailureCause cause) {
-    if (writer_->drawing()) return Fail(Result::kUnreachable, cause);
+    if (writer_->waiting_for_source()) return Fail(Result::kUnreachable, cause);
     abort_cause_ = cause;
     ErrorCode ignored;
     socket_.close(ignored);
@@ -359,7 +361,7 @@
     if (result != Result::kSuccess) return Finish(result, /*reuse=*/false);
     streaming_ = true;
     UpstreamAnswer answer = TakeAnswer(result);
-    answer.message.rest = shared_from_this();
+    answer.message.remaining = shared_from_this();
     if (const auto length = parser_->content_length()) answer.message.length = *length;
     ActiveAttempt attempt = std::move(*attempt_);
     attempt_.reset();
@@ -373,11 +375,11 @@
     if (!on_chunk_) return;
     if (closed_) return std::exchange(on_chunk_, nullptr)(asio::error::connection_aborted, 0, true);
     ErrorCode error;
-    const std::size_t n = Feed(*parser_, buffer_, chunk_buffer_, error);
+    const std::size_t n = FeedParser(*parser_, buffer_, chunk_buffer_, error);
     if (error) return AbortStreaming(error);
     if (n == 0 && !parser_->is_done()) return Read();
     const bool last = parser_->is_done();
-    const Taken taken = std::exchange(on_chunk_, nullptr);
+    const ReadHandler taken = std::exchange(on_chunk_, nullptr);
     if (last) EndStreaming();
     taken({}, n, last);
   }
@@ -401,14 +403,14 @@
   void AbortStreaming(ErrorCode error) {
     const auto self = shared_from_this();
     pool_.CountFailure(FailureCause::kAnswerCutOff, server_->info.id);
-    const Taken taken = std::exchange(on_chunk_, nullptr);
+    const ReadHandler taken = std::exchange(on_chunk_, nullptr);
     Close();
     if (taken) taken(error, 0, true);
   }
 
   // Tells the idle limit that a request was lost without any of its answer.
   void CountLostRequest() {
-    if (!answer_started_) pool_.idle_limit_.Count(idle_before_, /*lost=*/true, Now());
+    if (!answer_started_) pool_.idle_limit_.Record(idle_before_, /*lost=*/true, Now());
   }
 
   void FailReset() {
@@ -429,7 +431,7 @@
     answer.reservation = std::move(reservation_);
     if (!parser_ || !parser_->is_header_done()) return answer;
     answer.message.head = parser_->get().base();
-    answer.message.held = std::make_shared<const std::string>(std::exchange(buffered_body_, {}));
+    answer.message.buffered = std::make_shared<const std::string>(std::exchange(buffered_body_, {}));
     answer.load = ParseLoadHeader(ToStringView(answer.message.head[kLoadHeader]));
     return answer;
   }
@@ -455,20 +457,20 @@
   const std::uint64_t incarnation_;
   Tcp::socket socket_;
   asio::steady_timer timer_;  // for the dial, then for the stall check of a streamed body
-  beast::flat_buffer buffer_{kMostUnparsed};
+  beast::flat_buffer buffer_{kMaxUnparsed};
   std::optional<http::response_parser<http::buffer_body>> parser_;
   std::string buffered_body_;  // the buffered part of the answer's body
   std::optional<ActiveAttempt> attempt_;
   std::optional<Message<true>> request_;  // until the write begins
   std::shared_ptr<MessageWriter<true>> writer_;
   asio::mutable_buffer chunk_buffer_;  // receives the next chunk of a streamed answer
-  Taken on_chunk_;                     // called with that chunk; null if none has been requested
+  ReadHandler on_chunk_;               // called with that chunk; null if none has been requested
   Clock::time_point last_progress_;
-  Charge reservation_;           // memory for the answer that is being read
-  Micros idle_before_ = 0;       // how long the connection was idle before this request; 0 if it is new
-  bool answer_started_ = false;  // part of the answer has been received
-  bool streaming_ = false;       // the answer's body is being streamed
-  int interim_answers_ = 0;      // 1xx answers to this request
+  MemoryReservation reservation_;  // memory for the answer that is being read
+  Micros idle_before_ = 0;         // how long the connection was idle before this request; 0 if it is new
+  bool answer_started_ = false;    // part of the answer has been received
+  bool streaming_ = false;         // the answer's body is being streamed
+  int interim_answers_ = 0;        // 1xx answers to this request
   bool dialing_ = false;
   bool writing_ = false;
   bool request_complete_ = false;            // the request's last byte has been written
@@ -476,7 +478,7 @@
   bool closed_ = false;
 };
 
-Upstream::Upstream(asio::io_context& io, Limits limits, Budget& budget, Counters& counters)
+Upstream::Upstream(asio::io_context& io, Limits limits, MemoryBudget& budget, Counters& counters)
     : io_(io), limits_(limits), budget_(budget), counters_(counters), sweep_timer_(io), log_timer_(io) {}
 
 Upstream::~Upstream() {
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -26,8 +26,8 @@
 struct UpstreamAnswer {
   Result result = Result::kUnreachable;
   Message<false> message;  // relevant after a success; the part that is not buffered is still to be read
-  Charge reservation;      // memory reserved for the answer's body
-  LoadReport load;         // the server's load report, present with any result
+  MemoryReservation reservation;  // memory reserved for the answer's body
+  LoadReport load;                // the server's load report, present with any result
 };
 
 class Upstream {
@@ -58,7 +58,7 @@
     std::size_t soft_limit = SIZE_MAX;
   };
 
-  Upstream(asio::io_context& io, Limits limits, Budget& budget, Counters& counters);
+  Upstream(asio::io_context& io, Limits limits, MemoryBudget& budget, Counters& counters);
   ~Upstream();
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
@@ -117,7 +117,7 @@
 
   asio::io_context& io_;
   Limits limits_;
-  Budget& budget_;
+  MemoryBudget& budget_;
   Counters& counters_;
   IdleLimit idle_limit_;
   asio::steady_timer sweep_timer_;
--- a/src/net/validate.cpp
+++ b/src/net/validate.cpp
@@ -84,7 +84,7 @@
     return Rejection{http::status::request_header_fields_too_large, "too many header fields\n"};
   if (!HasUnambiguousFraming(header)) return malformed("the body's length is in doubt\n");
   const auto length = ToStringView(header[http::field::content_length]);
-  if (ParseDecimal(length).value_or(0) > static_cast<double>(kMostBody))
+  if (ParseDecimal(length).value_or(0) > static_cast<double>(kMaxBody))
     return Rejection{http::status::payload_too_large, "too large\n"};
   if (header.count(http::field::expect) > 1 ||
       (header.count(http::field::expect) > 0 && !ExpectsContinue(header)))
@@ -140,7 +140,7 @@
 bool IsAcceptableResponse(const ResponseHeader& header) {
   return HasSingleFraming(header, header.version()) &&
          ParseDecimal(ToStringView(header[http::field::content_length])).value_or(0) <=
-             static_cast<double>(kMostBody);
+             static_cast<double>(kMaxBody);
 }
 
 }  // namespace merlinrun::net
--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -97,7 +97,7 @@
   void DisconnectAll() {
     for (std::size_t i = 0; i < kClients; ++i) DisconnectClient(kDisconnects[i], *clients[i]);
   }
-  std::uint64_t Disconnected() const { return sidecar->counters().classes()[0].gone; }
+  std::uint64_t Disconnected() const { return sidecar->counters().classes()[0].disconnected; }
   void SlowDials(nlohmann::json& json) const {
     json["settings"]["allowed"]["dial_timeout_us"] = 20'000'000;
     json["settings"]["allowed"]["cancel"] = cancel;
--- a/tests/net/inbound_test.cpp
+++ b/tests/net/inbound_test.cpp
@@ -11,7 +11,7 @@
 class InboundTest : public ::testing::Test {
  protected:
   InboundTest() {
-    limits.request = 200'000;
+    limits.request_timeout = 200'000;
     limits.idle_timeout = 300'000;
     limits.min_idle = 0;
     limits.linger_timeout = 100'000;
@@ -21,9 +21,10 @@
     Inbound::Events events;
     events.on_request = [this](const Inbound::SessionPtr& session, Message<true> request) {
       requests.push_back(std::move(request));
-      if (answer_requests) Inbound::Respond(session, Inbound::Whole(Plain(http::status::ok, body)));
+      if (answer_requests)
+        Inbound::Respond(session, Inbound::MakeReply(PlainTextResponse(http::status::ok, body)));
     };
-    events.on_gone = [this](const std::string& id) { disconnected.push_back(id); };
+    events.on_client_disconnected = [this](const std::string& id) { disconnected.push_back(id); };
     events.ready = [] { return true; };
     inbound = std::make_unique<Inbound>(io, Loopback(), inherited, limits, budget, std::move(events));
   }
@@ -44,7 +45,7 @@
   asio::io_context io;
   Inbound::Limits limits;
   std::optional<int> inherited;
-  Budget budget{std::size_t{1} << 20};
+  MemoryBudget budget{std::size_t{1} << 20};
   std::unique_ptr<Inbound> inbound;
   std::vector<Message<true>> requests;
   std::vector<std::string> disconnected;
@@ -102,8 +103,8 @@
 
 // Silent connections once took all places, until no more connections were accepted.
 TEST_F(InboundTest, ClosesSilentConnectionsToServeNewOnes) {
-  limits.sessions = 4;
-  limits.request = 60'000'000;
+  limits.max_sessions = 4;
+  limits.request_timeout = 60'000'000;
   Start();
   std::vector<std::shared_ptr<Peer>> silent;
   for (int i = 0; i < 20; ++i) silent.push_back(Client());
@@ -112,7 +113,7 @@
 }
 
 TEST_F(InboundTest, RejectsNewConnectionsWith503WhileAllOthersAreBusy) {
-  limits.sessions = 4;
+  limits.max_sessions = 4;
   answer_requests = false;
   Start();
   std::vector<std::shared_ptr<Peer>> working;
@@ -143,21 +144,21 @@
   auto chunked = Client("POST /api HTTP/1.1\r\nReq-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n3938700\r\n");
   EXPECT_EQ(Status(*chunked), "413");
   EXPECT_TRUE(Ends(*client) && Ends(*chunked));
-  EXPECT_EQ(budget.held(), 0U);
+  EXPECT_EQ(budget.reserved(), 0U);
 }
 
 TEST_F(InboundTest, RefusesBodiesBeyondTheMemoryBudgetAndReleasesTheirMemory) {
   const std::string head = "POST /api HTTP/1.1\r\nReq-Id: r1\r\nContent-Length: 65536\r\n\r\n";
-  limits.request = 60'000'000;
+  limits.request_timeout = 60'000'000;
   Start();
   std::vector<std::shared_ptr<Peer>> clients;  // 16 bodies take the whole budget of 1 MiB
   for (int i = 0; i < 16; ++i) clients.push_back(Client(head));
-  ASSERT_TRUE(RunUntil(io, [&] { return budget.held() == std::size_t{1} << 20; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return budget.reserved() == std::size_t{1} << 20; }));
   EXPECT_EQ(Status(*Client(head)), "503");
   clients[0]->Write(std::string(65536, 'x'));
   EXPECT_EQ(Status(*clients[0]), "200");
   for (const auto& client : clients) client->Close();
-  EXPECT_TRUE(RunUntil(io, [&] { return budget.held() == 0; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return budget.reserved() == 0; }));
 }
 
 // A listener that is shared with another process is closed in this process only: connections in its backlog
@@ -193,7 +194,7 @@
   answer_requests = false;
   const auto busy = Client(Get("b1"));
   ASSERT_TRUE(RunUntil(io, [&] { return requests.size() == 5; }));
-  inbound->KeepAtMost(2);
+  inbound->SetSoftLimit(2);
   EXPECT_EQ(inbound->sessions(), 2U);
   EXPECT_TRUE(Ends(*idle[0]) && Ends(*idle[1]) && Ends(*idle[2]));
   EXPECT_FALSE(busy->ended || idle[3]->ended);
--- a/tests/net/sidecar_edge_cases_test.cpp
+++ b/tests/net/sidecar_edge_cases_test.cpp
@@ -35,7 +35,7 @@
   enum class CloseMode { kFin, kReset };
 
   static std::string Declined() { return Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n"); }
-  Counters::Class CountsOf(std::size_t request_class) const {
+  Counters::ClassCounts CountsOf(std::size_t request_class) const {
     return sidecar->counters().classes()[request_class];
   }
 
@@ -58,10 +58,10 @@
     RunFor(io, 300ms);  // longer than the longest first retry delay
     EXPECT_EQ(server.requests(), 1);
     EXPECT_EQ(sidecar->counters().attempts(), 1U);
-    EXPECT_EQ(sidecar->counters().open(), 0U);
-    const Counters::Class counted = CountsOf(request_class);
+    EXPECT_EQ(sidecar->counters().in_progress(), 0U);
+    const Counters::ClassCounts counted = CountsOf(request_class);
     EXPECT_EQ(counted.refused + counted.failed + counted.served, 0U);
-    EXPECT_EQ(counted.gone, 1U);
+    EXPECT_EQ(counted.disconnected, 1U);
   }
 };
 
@@ -95,9 +95,9 @@
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 1; }));
   GetParam() ? client->Reset() : client->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
-  EXPECT_EQ(CountsOf(1).gone, 1U);
+  EXPECT_EQ(CountsOf(1).disconnected, 1U);
   EXPECT_EQ(CountsOf(1).refused + CountsOf(1).failed, 0U);
-  EXPECT_EQ(sidecar->counters().open(), 0U);
+  EXPECT_EQ(sidecar->counters().in_progress(), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(ByFinOrReset, UploadDisconnectTest, ::testing::Bool());
@@ -119,7 +119,7 @@
   while (std::chrono::steady_clock::now() < delay_end) continue;
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
   EXPECT_EQ(server.requests(), 1);
-  EXPECT_EQ(CountsOf(0).gone, 1U);
+  EXPECT_EQ(CountsOf(0).disconnected, 1U);
 }
 
 // A client that disconnects while the connection to the server is being established ends the dial.
@@ -132,7 +132,7 @@
   client->Reset();
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
   EXPECT_EQ(sidecar->upstream_connections(), 0U);
-  EXPECT_EQ(CountsOf(0).gone, 1U);
+  EXPECT_EQ(CountsOf(0).disconnected, 1U);
 }
 
 // ---- Request classes ----
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -362,7 +362,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return held.size() == 1; }));
   leaving->Close();
   auto waiting = Client(get("h2"));
-  ASSERT_TRUE(RunUntil(io, [&] { return held.size() == 2 && sidecar->counters().open() == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return held.size() == 2 && sidecar->counters().in_progress() == 1; }));
 
   auto caller = Connect(io, sidecar->management_address());
   caller->Write("GET /ops/stats HTTP/1.1\r\n\r\n");
@@ -378,7 +378,7 @@
   EXPECT_EQ(stats.at("skipped_servers"), 0);
   EXPECT_EQ(stats.size(), 7U);
   for (const auto& counts : sidecar->counters().classes())
-    EXPECT_EQ(counts.taken, counts.ended() + (&counts == &sidecar->counters().classes()[0] ? 1 : 0));
+    EXPECT_EQ(counts.started, counts.finished() + (&counts == &sidecar->counters().classes()[0] ? 1 : 0));
 }
 
 // ---- Streamed bodies ----
@@ -417,8 +417,8 @@
     return "POST /api HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Kind: pay\r\nIdempotency-Key: k\r\n" + framing +
            "\r\n\r\n";
   }
-  Counters::Class LookClass() const { return sidecar->counters().classes()[0]; }
-  Counters::Class PayClass() const { return sidecar->counters().classes()[1]; }
+  Counters::ClassCounts LookClass() const { return sidecar->counters().classes()[0]; }
+  Counters::ClassCounts PayClass() const { return sidecar->counters().classes()[1]; }
 };
 
 TEST_F(StreamTest, LongAnswersAreForwardedUnchangedWithAnyFraming) {
@@ -444,7 +444,7 @@
     client->Write("GET /ready HTTP/1.1\r\n\r\n");  // the connection can still be used
     EXPECT_EQ(Status(*client), "200");
   }
-  EXPECT_EQ(sidecar->counters().open(), 0U);
+  EXPECT_EQ(sidecar->counters().in_progress(), 0U);
 }
 
 // HTTP/1.0 has no chunked encoding: the end of the connection marks the end of the answer.
@@ -489,7 +489,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return writing != nullptr; }));
   RunFor(io, 300ms);
   EXPECT_FALSE(writing->written);
-  EXPECT_EQ(sidecar->counters().open(), 1U);
+  EXPECT_EQ(sidecar->counters().in_progress(), 1U);
   client->Read();
   ASSERT_TRUE(RunUntil(io, [&] { return writing->written && LookClass().served == 1; }));
   ASSERT_TRUE(RunUntil(io, [&] { return Body(*client).size() == body.size(); }));
@@ -538,7 +538,7 @@
   EXPECT_EQ(Status(*with_chunks), "200");
   EXPECT_TRUE(Unchunked(received) == body);
   EXPECT_EQ(PayClass().served, 2U);
-  EXPECT_EQ(PayClass().taken, 2U);
+  EXPECT_EQ(PayClass().started, 2U);
   EXPECT_EQ(sidecar->counters().attempts(), 2U);
 }
 
@@ -580,7 +580,7 @@
   Start({Entry("s1", server.address)});
   const std::string head = PostHead("r1", "Content-Length: 100000");
   auto stalled = Client(head + std::string(80'000, 'x'));
-  const DeadlineCheck deadline_check(io, 6s, [&] { return PayClass().gone == 1; });
+  const DeadlineCheck deadline_check(io, 6s, [&] { return PayClass().disconnected == 1; });
   auto slow = Client(PostHead("r2", "Content-Length: 100000"));
   const auto begin = std::chrono::steady_clock::now();
   // Writes at the lowest rate allowed, and no slower on a busy machine.
@@ -594,8 +594,8 @@
   EXPECT_EQ(Status(*slow), "200");
   EXPECT_EQ(Status(*stalled), "408");
   EXPECT_TRUE(deadline_check.Met());
-  EXPECT_EQ(PayClass().gone, 1U);
-  EXPECT_EQ(sidecar->counters().open(), 0U);
+  EXPECT_EQ(PayClass().disconnected, 1U);
+  EXPECT_EQ(sidecar->counters().in_progress(), 0U);
 }
 
 TEST_F(StreamTest, ALongRequestWithAnInvalidChunkIsNeverSentCompletely) {
--- a/tests/net/upstream_test.cpp
+++ b/tests/net/upstream_test.cpp
@@ -30,7 +30,7 @@
     Message<true> request;
     request.head.method(body > 0 ? http::verb::post : http::verb::get);
     request.head.target("/api");
-    if (body > 0) request.held = std::make_shared<const std::string>(std::string(body, 'x'));
+    if (body > 0) request.buffered = std::make_shared<const std::string>(std::string(body, 'x'));
     return upstream().Send(id, std::move(request),
                            {[this](UpstreamAnswer answer) { answers.push_back(std::move(answer)); }});
   }
@@ -64,7 +64,7 @@
 
   asio::io_context io;
   Upstream::Limits limits;
-  Budget budget{std::size_t{1} << 20};
+  MemoryBudget budget{std::size_t{1} << 20};
   Counters counters{1};
   std::vector<UpstreamAnswer> answers;
 
@@ -74,7 +74,7 @@
 
 TEST_F(UpstreamTest, MapsStatusesToResults) {
   EXPECT_EQ(ResultForReply(Reply("200 OK", "hello")), Result::kSuccess);
-  EXPECT_EQ(*answers.back().message.held, "hello");
+  EXPECT_EQ(*answers.back().message.buffered, "hello");
   EXPECT_EQ(ResultForReply(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")), Result::kRefused);
   EXPECT_EQ(ResultForReply(Reply("504 Gateway Timeout", "", "Srv-Declined: 1\r\n")), Result::kRefused);
   EXPECT_EQ(ResultForReply(Reply("503 Service Unavailable", "")), Result::kError);
@@ -83,7 +83,7 @@
   EXPECT_EQ(ResultForReply(Reply("500 Internal Server Error", "", "Srv-Declined: 1\r\n")), Result::kError);
   EXPECT_EQ(ResultForReply("no HTTP at all\r\n\r\n"), Result::kReset);
   EXPECT_EQ(ResultForReply("HTTP/1.1 100 Continue\r\n\r\n" + Reply("200 OK", "later")), Result::kSuccess);
-  EXPECT_EQ(*answers.back().message.held, "later");
+  EXPECT_EQ(*answers.back().message.buffered, "later");
 }
 
 TEST_F(UpstreamTest, ReadsLoadReportsOfAnyAnswer) {
@@ -121,7 +121,7 @@
 
 TEST_F(UpstreamTest, AnAnswerWithoutALengthEndsAtTheConnectionClose) {
   EXPECT_EQ(ResultForReply("HTTP/1.1 200 OK\r\n\r\nall of it", /*close=*/true), Result::kSuccess);
-  EXPECT_EQ(*answers.back().message.held, "all of it");
+  EXPECT_EQ(*answers.back().message.buffered, "all of it");
   EXPECT_EQ(ResultForReply("HTTP/1.1 200 OK\r\n\r\n", /*close=*/true), Result::kSuccess);
   EXPECT_EQ(upstream().open_connections(), 0U);
 }
@@ -131,7 +131,7 @@
   EXPECT_EQ(ResultForReply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                            "3;a=b\r\none\r\n3\r\ntwo\r\n0\r\nX-Sum: 1\r\n\r\n"),
             Result::kSuccess);
-  EXPECT_EQ(*answers.back().message.held, "onetwo");
+  EXPECT_EQ(*answers.back().message.buffered, "onetwo");
   EXPECT_EQ(upstream().open_connections(), 0U);  // the server has been removed from the list
 }
 
@@ -256,7 +256,7 @@
   ScriptedServer server(io, [](Peer& peer) { peer.Write(Reply("200 OK", "a") + Reply("200 OK", "stray")); });
   ApplyEntry(server.address);
   EXPECT_EQ(SendAndWait(), Result::kSuccess);
-  EXPECT_EQ(*answers.back().message.held, "a");
+  EXPECT_EQ(*answers.back().message.buffered, "a");
   EXPECT_EQ(upstream().open_connections(), 0U);
 }
 
@@ -268,7 +268,7 @@
   ApplyEntry(server.address);
   EXPECT_EQ(SendAndWait(), Result::kSuccess);
   EXPECT_EQ(SendAndWait(), Result::kSuccess);  // on another connection, as the reuse delay has not passed
-  EXPECT_EQ(*answers.back().message.held, "2");
+  EXPECT_EQ(*answers.back().message.buffered, "2");
   EXPECT_EQ(server.peers.size(), 2U);
   server.peers[0]->Write(Reply("200 OK", "1"));
   EXPECT_TRUE(RunUntil(io, [&] { return upstream().open_connections() == 1; })) << "kept for reuse";
@@ -284,7 +284,7 @@
   SendWhilePeerActs([&] { server.peers[0]->Write(Reply("200 OK", "noise")); });
   ASSERT_TRUE(RunUntil(io, [&] { return answers.size() == 2; }));
   EXPECT_EQ(answers.back().result, Result::kSuccess);
-  EXPECT_EQ(*answers.back().message.held, "1");
+  EXPECT_EQ(*answers.back().message.buffered, "1");
   ASSERT_EQ(server.peers.size(), 2U);
   EXPECT_EQ(server.peers[0]->requests(), 1);
   EXPECT_EQ(server.peers[1]->requests(), 1);
@@ -310,7 +310,7 @@
 class TwoChunkBody : public BodySource {
  public:
   explicit TwoChunkBody(asio::io_context& loop) : io_(loop) {}
-  void ReadSome(asio::mutable_buffer into, Taken taken) override {
+  void ReadSome(asio::mutable_buffer into, ReadHandler taken) override {
     taken_ = std::move(taken);
     into_ = into;
     if (available) Deliver();
@@ -329,7 +329,7 @@
  private:
   asio::io_context& io_;
   asio::mutable_buffer into_;
-  Taken taken_;
+  ReadHandler taken_;
 };
 
 // A progress callback may cancel its own attempt, which destroys the callback while it runs. A use after free
@@ -356,8 +356,8 @@
     Message<true> request;
     request.head.method(http::verb::post);
     request.head.target("/api");
-    request.held = std::make_shared<const std::string>("x");
-    request.rest = body;
+    request.buffered = std::make_shared<const std::string>("x");
+    request.remaining = body;
     request.length = 101;
     attempt = upstream().Send("s1", std::move(request), std::move(events));
     ASSERT_TRUE(RunUntil(io, [&] { return reported.size() > 10; })) << when_sent;
@@ -385,8 +385,8 @@
     Message<true> request;
     request.head.method(http::verb::post);
     request.head.target("/api");
-    request.held = std::make_shared<const std::string>("x");
-    request.rest = body;
+    request.buffered = std::make_shared<const std::string>("x");
+    request.remaining = body;
     request.length = 101;
     upstream().Send("s1", std::move(request), std::move(events));
     ASSERT_TRUE(RunUntil(io, [&] { return consumed && server.requests() == 1; }));
@@ -469,7 +469,7 @@
   EXPECT_EQ(upstream().open_connections(), 1U);
   server.peers[0]->Write(Reply("200 OK", "finished"));
   ASSERT_TRUE(RunUntil(io, [&] { return answers.size() == 2; }));
-  EXPECT_EQ(*answers.back().message.held, "finished");
+  EXPECT_EQ(*answers.back().message.buffered, "finished");
   EXPECT_EQ(upstream().open_connections(), 0U);
   EXPECT_EQ(SendAndWait(), Result::kUnreachable);
   EXPECT_EQ(server.requests(), 2);
@@ -518,7 +518,7 @@
   EXPECT_EQ(SendAndWait(), Result::kSuccess);
   ApplyEntry(after.address);
   EXPECT_EQ(SendAndWait(), Result::kSuccess);
-  EXPECT_EQ(*answers.back().message.held, "after");
+  EXPECT_EQ(*answers.back().message.buffered, "after");
   EXPECT_EQ(upstream().open_connections(), 1U);
 }
 
