--- a/src/net/counters.hpp
+++ b/src/net/counters.hpp
@@ -9,6 +9,7 @@
 
 namespace merlinrun::net {
 
+// The request counters of one sidecar process.
 class Counters {
  public:
   // How a request ended.
--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -119,13 +119,13 @@
   Start({Entry("s-1", server.address)}, [this](nlohmann::json& json) { SlowDials(json); });
   ConnectAll();
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->upstream_connections() == kClients; }));
-  RunFor(io, 150ms);  // so that the connection for the client that stays is established after theirs
-  const auto stays = Client(Get("stays"));
+  RunFor(io, 150ms);  // so that the connection for the remaining client is established after theirs
+  const auto connected = Client(Get("stays"));
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->upstream_connections() == kClients + 1; }));
   DisconnectAll();
   ASSERT_TRUE(RunUntil(io, [&] { return Disconnected() == kClients; }));
   server.AcceptConnections();
-  EXPECT_EQ(Status(*stays), "200");
+  EXPECT_EQ(Status(*connected), "200");
   RunFor(io, 50ms);
   EXPECT_EQ(server.Received().find("abandoned-"), std::string::npos) << server.Received();
   EXPECT_EQ(sidecar->counters().attempts(), 1U);
@@ -191,7 +191,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   ConnectAll();
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 1 + kClients; }));
-  const auto stays = Client(Get("stays"));
+  const auto connected = Client(Get("stays"));
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 2 + kClients; }));
   ASSERT_EQ(server.requests(), 1);
   server.peers[0]->Write(Reply("200 OK", "ok"));  // arrives before the disconnects
@@ -200,7 +200,7 @@
     if (peer.received.find("stays") != std::string::npos) peer.Write(Reply("200 OK", "ok"));
   };
   EXPECT_EQ(Status(*first), "200");
-  EXPECT_EQ(Status(*stays), "200");
+  EXPECT_EQ(Status(*connected), "200");
   EXPECT_EQ(server.requests(), 2);
   EXPECT_EQ(Disconnected(), kClients);
 }
--- a/tests/net/inbound_test.cpp
+++ b/tests/net/inbound_test.cpp
@@ -84,9 +84,9 @@
   auto busy = Client(Get("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return requests.size() == 1; }));
   answer_requests = true;
-  auto kept = Client(Get("r2"));
-  EXPECT_EQ(Status(*kept), "200");
-  EXPECT_TRUE(Ends(*kept));
+  auto persistent = Client(Get("r2"));
+  EXPECT_EQ(Status(*persistent), "200");
+  EXPECT_TRUE(Ends(*persistent));
   EXPECT_FALSE(busy->ended) << "closed while its request was in progress";
 }
 
@@ -164,9 +164,9 @@
 // A listener that is shared with another process is closed in this process only: connections in its backlog
 // are neither accepted nor reset, and the next process serves them.
 TEST_F(InboundTest, ClosingAnInheritedListenerLeavesItsBacklogToOtherProcesses) {
-  Tcp::acceptor held(io, Loopback());
-  const Tcp::endpoint address = held.local_endpoint();
-  inherited = ::dup(held.native_handle());
+  Tcp::acceptor shared_listener(io, Loopback());
+  const Tcp::endpoint address = shared_listener.local_endpoint();
+  inherited = ::dup(shared_listener.native_handle());
   Start();
   EXPECT_EQ(inbound->address(), address);
   EXPECT_EQ(Status(*Client(Get("r1"))), "200");
@@ -178,7 +178,7 @@
   EXPECT_FALSE(waiting->ended || late->ended);
   EXPECT_EQ(requests.size(), 1U);
   const auto before = std::move(inbound);
-  inherited = ::dup(held.native_handle());
+  inherited = ::dup(shared_listener.native_handle());
   Start();  // the next process
   EXPECT_EQ(Status(*waiting), "200");
   EXPECT_EQ(Status(*late), "200");
--- a/tests/net/sidecar_edge_cases_test.cpp
+++ b/tests/net/sidecar_edge_cases_test.cpp
@@ -175,8 +175,8 @@
   int calls = 0;
   ScriptedServer other(io, [&](Peer& peer) {
     if (++calls == 1) return peer.Write(Reply("503 Service Unavailable", ""));
-    const bool whole = peer.received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0) == 0;
-    peer.Write(whole ? Reply("200 OK", List(7, true, {Entry("s-2", two.address)}).dump()) : WatchHeader());
+    const bool complete = peer.received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0) == 0;
+    peer.Write(complete ? Reply("200 OK", List(7, true, {Entry("s-2", two.address)}).dump()) : WatchHeader());
   });
   Reload(other.address);
   ASSERT_TRUE(RunUntil(io, [&] { return calls >= 3; }));
@@ -212,10 +212,10 @@
   ScriptedServer one(io, Serves("one"));
   int calls = 0;
   discovery.on_data = [&](Peer& peer) {
-    const bool whole = peer.received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0) == 0;
+    const bool complete = peer.received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0) == 0;
     ++calls;
     watching = &peer;
-    if (whole) return peer.Write(Reply("200 OK", List(4, true, {Entry("s-1", one.address)}).dump()));
+    if (complete) return peer.Write(Reply("200 OK", List(4, true, {Entry("s-1", one.address)}).dump()));
     peer.Write(WatchHeader() + (calls == 1 ? Chunk(List(3, false, {}).dump() + "\n") : ""));
   };
   Start({Entry("s-gone", one.address)}, [](nlohmann::json& json) {
@@ -238,9 +238,9 @@
   Reload(other.address);
   ASSERT_TRUE(RunUntil(io, [&] { return calls() == 1; }));
   // A name that contains brackets and quotes must not end the object.
-  const std::string whole =
+  const std::string complete =
       List(7, true, {Entry("s-\"}]{\\", one.address), Entry("s-1", one.address)}).dump(2) + "\n";
-  other.peers[0]->Write(Reply("200 OK", whole));
+  other.peers[0]->Write(Reply("200 OK", complete));
   ASSERT_TRUE(RunUntil(io, [&] { return calls() == 2; }));
   EXPECT_NE(other.peers[1]->received.find("index=7 "), std::string::npos);
   std::string chunks = WatchHeader() + Chunk("\r\n");
