--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -55,7 +55,7 @@
   }
   const Counters& counters() const { return counters_; }
   // Requests that have no answer yet or still have an attempt in flight.
-  std::size_t requests_held() const { return pending_requests_.size(); }
+  std::size_t pending_requests() const { return pending_requests_.size(); }
   std::size_t upstream_connections() const { return upstream_.open_connections(); }
 
  private:
--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -75,7 +75,7 @@
 class ClientDisconnectTest : public SidecarTest {
  protected:
   // A request with the longest deadline that its class allows.
-  static std::string Get(const std::string& id) { return GetWithin("60.0", id); }
+  static std::string Get(const std::string& id) { return GetWithDeadline("60.0", id); }
   static std::string TextOf(const Disconnect& disconnect, const std::string& id) {
     std::string text = Get(id);
     const int more = disconnect.pipelined == Pipelined::kNothing ? 0
@@ -173,7 +173,7 @@
   DisconnectClient(GetParam(), *client);
   const auto delay_end = std::chrono::steady_clock::now() + 110ms;
   while (std::chrono::steady_clock::now() < delay_end) continue;
-  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 0; }));
   EXPECT_EQ(server.requests(), 1);
   EXPECT_EQ(Disconnected(), 1U);
 }
@@ -190,9 +190,9 @@
   const auto first = Client(Get("first"));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   ConnectAll();
-  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 1 + kClients; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 1 + kClients; }));
   const auto connected = Client(Get("stays"));
-  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 2 + kClients; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 2 + kClients; }));
   ASSERT_EQ(server.requests(), 1);
   server.peers[0]->Write(Reply("200 OK", "ok"));  // arrives before the disconnects
   DisconnectAll();
@@ -229,7 +229,7 @@
   ConnectAll();
   DisconnectAll();
   EXPECT_EQ(Ask(Get("stays")), "200");
-  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 0; }));
   EXPECT_EQ(server.requests(), 1);
   EXPECT_EQ(sidecar->counters().attempts(), 1U);
   EXPECT_GE(Disconnected(), kClients / 2);
--- a/tests/net/sidecar_edge_cases_test.cpp
+++ b/tests/net/sidecar_edge_cases_test.cpp
@@ -54,7 +54,7 @@
     client = Connect(io, sidecar->address());
     client->Write(text);
     ASSERT_TRUE(RunUntil(io, [&] { return declined == 1; }));
-    ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
+    ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 0; }));
     RunFor(io, 300ms);  // longer than the longest first retry delay
     EXPECT_EQ(server.requests(), 1);
     EXPECT_EQ(sidecar->counters().attempts(), 1U);
@@ -92,9 +92,9 @@
       "POST /api HTTP/1.1\r\nReq-Id: u\r\nReq-Kind: pay\r\nIdempotency-Key: k\r\nContent-Length: "
       "400000\r\n\r\n" +
       std::string(120000, 'x'));
-  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 1; }));
   GetParam() ? client->Reset() : client->Close();
-  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 0; }));
   EXPECT_EQ(CountsOf(1).disconnected, 1U);
   EXPECT_EQ(CountsOf(1).refused + CountsOf(1).failed, 0U);
   EXPECT_EQ(sidecar->counters().in_progress(), 0U);
@@ -117,7 +117,7 @@
   client->Close();
   const auto delay_end = std::chrono::steady_clock::now() + 110ms;
   while (std::chrono::steady_clock::now() < delay_end) continue;
-  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 0; }));
   EXPECT_EQ(server.requests(), 1);
   EXPECT_EQ(CountsOf(0).disconnected, 1U);
 }
@@ -130,7 +130,7 @@
   client->Write(Get("a"));
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->upstream_connections() == 1; }));
   client->Reset();
-  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 0; }));
   EXPECT_EQ(sidecar->upstream_connections(), 0U);
   EXPECT_EQ(CountsOf(0).disconnected, 1U);
 }
@@ -171,7 +171,7 @@
   ScriptedServer one(io, Serves("one"));
   ScriptedServer two(io, Serves("two"));
   Start({Entry("s-1", one.address)}, UseSubscribeMode);
-  Tell(List(40, false, {}));
+  SendList(List(40, false, {}));
   int calls = 0;
   ScriptedServer other(io, [&](Peer& peer) {
     if (++calls == 1) return peer.Write(Reply("503 Service Unavailable", ""));
@@ -214,7 +214,7 @@
   discovery.on_data = [&](Peer& peer) {
     const bool complete = peer.received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0) == 0;
     ++calls;
-    watching = &peer;
+    watch_peer = &peer;
     if (complete) return peer.Write(Reply("200 OK", List(4, true, {Entry("s-1", one.address)}).dump()));
     peer.Write(WatchHeader() + (calls == 1 ? Chunk(List(3, false, {}).dump() + "\n") : ""));
   };
@@ -261,7 +261,7 @@
 TEST_F(SidecarEdgeCasesTest, ClosesAWatchWhoseObjectNeverEnds) {
   ScriptedServer one(io, Serves("one"));
   Start({Entry("s-1", one.address)});
-  watching->Write(Chunk("{\"generation\":42,\n"));
+  watch_peer->Write(Chunk("{\"generation\":42,\n"));
   const auto watch = discovery.peers.front();
   asio::steady_timer blank(io);
   std::function<void()> write_blank_line = [&] {
--- a/tests/net/sidecar_fixture.hpp
+++ b/tests/net/sidecar_fixture.hpp
@@ -12,11 +12,11 @@
   SidecarTest()
       : discovery(io, [this](Peer& peer) {
           if (peer.requests() != 1) return;
-          watching = &peer;
+          watch_peer = &peer;
           peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
           // On a busy machine the sidecar may take its watch for silent and open a new one. The new watch
           // gets the lists that were sent in the meantime.
-          for (const nlohmann::json& list : lists_told)
+          for (const nlohmann::json& list : sent_lists)
             if (list.at("generation") > KnownGeneration(peer)) WriteList(list);
         }) {
     WriteBlankLines();
@@ -34,10 +34,10 @@
     if (config.management) config.management = Loopback();
     sidecar = std::make_unique<Sidecar>(io, std::move(config));
     sidecar->Start();
-    ASSERT_TRUE(RunUntil(io, [&] { return watching != nullptr; }));
+    ASSERT_TRUE(RunUntil(io, [&] { return watch_peer != nullptr; }));
   }
-  void Tell(const nlohmann::json& list) {
-    lists_told.push_back(list);
+  void SendList(const nlohmann::json& list) {
+    sent_lists.push_back(list);
     WriteList(list);
   }
   // Sends the blank lines that show that the watch is alive: discovery sends one every 2 s while nothing
@@ -46,7 +46,7 @@
     blank_line_timer.expires_after(500ms);
     blank_line_timer.async_wait([this](ErrorCode error) {
       if (error) return;
-      if (watching != nullptr && !watching->ended) watching->Write("1\r\n\n\r\n");
+      if (watch_peer != nullptr && !watch_peer->ended) watch_peer->Write("1\r\n\n\r\n");
       WriteBlankLines();
     });
   }
@@ -54,7 +54,7 @@
     const std::string text = list.dump() + "\n";
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
-    watching->Write(size + text + "\r\n");
+    watch_peer->Write(size + text + "\r\n");
   }
   // The generation that the caller of a watch already has; -1 if it asks for the full list.
   static std::int64_t KnownGeneration(const Peer& peer) {
@@ -65,7 +65,7 @@
     return "GET /api?obj=k1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: " + id +
            "\r\nReq-Kind: look\r\nReq-Deadline: 5.0\r\n" + headers + "\r\n";
   }
-  static std::string GetWithin(const std::string& deadline, const std::string& id) {
+  static std::string GetWithDeadline(const std::string& deadline, const std::string& id) {
     std::string text = Get(id);
     return text.replace(text.find("5.0"), 3, deadline);
   }
@@ -129,8 +129,8 @@
 
   asio::io_context io;
   asio::steady_timer blank_line_timer{io};
-  Peer* watching = nullptr;  // the watch that was opened most recently
-  std::vector<nlohmann::json> lists_told;
+  Peer* watch_peer = nullptr;  // the watch that was opened most recently
+  std::vector<nlohmann::json> sent_lists;
   ScriptedServer discovery;
   std::unique_ptr<Sidecar> sidecar;
   std::vector<std::shared_ptr<Peer>> open_clients;
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -18,7 +18,7 @@
   ScriptedServer server(io, Serves("ok"));
   Start(std::vector<nlohmann::json>());
   EXPECT_EQ(Ask("GET /ready HTTP/1.1\r\n\r\n"), "503");
-  Tell(List(2, true, {Entry("s1", server.address)}));
+  SendList(List(2, true, {Entry("s1", server.address)}));
   ASSERT_TRUE(RunUntil(io, [&] { return Ask("GET /ready HTTP/1.1\r\n\r\n") == "200"; }));
   EXPECT_EQ(Ask(Get("r1")), "200");
 }
@@ -37,7 +37,7 @@
   EXPECT_EQ(sent.find("TE: "), std::string::npos);
   client->Write(Get("r2"));
   EXPECT_EQ(Status(*client, 2), "200");
-  EXPECT_EQ(sidecar->requests_held(), 0U);
+  EXPECT_EQ(sidecar->pending_requests(), 0U);
 }
 
 TEST_F(SidecarTest, AnswersPipelinedRequestsInOrder) {
@@ -125,12 +125,12 @@
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   const auto client = Client(Post("port", "r1", "0.6"));
-  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 1; }));
-  const DeadlineCheck deadline_check(io, 600ms, [&] { return sidecar->requests_held() == 0; });
+  ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 1; }));
+  const DeadlineCheck deadline_check(io, 600ms, [&] { return sidecar->pending_requests() == 0; });
   EXPECT_EQ(Status(*client), "502");
   EXPECT_TRUE(deadline_check.Met());
   EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; })) << "the attempt's connection was kept";
-  EXPECT_EQ(sidecar->requests_held(), 0U);
+  EXPECT_EQ(sidecar->pending_requests(), 0U);
 }
 
 TEST_F(SidecarTest, AnAttemptEndsWhenItsClientDisconnects) {
@@ -140,7 +140,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   client->Close();
   EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; }));
-  EXPECT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 0; }));
 }
 
 TEST_F(SidecarTest, ATruncatedAnswerIsNeverForwarded) {
@@ -171,7 +171,7 @@
   ScriptedServer two(io, Serves("two"));
   Start({Entry("s1", one.address)});
   EXPECT_EQ(Ask(Get("r1")), "200");
-  Tell(List(2, false, {Entry("s1", one.address, "draining"), Entry("s2", two.address)}));
+  SendList(List(2, false, {Entry("s1", one.address, "draining"), Entry("s2", two.address)}));
   ASSERT_TRUE(RunUntil(io, [&] { return one.peers[0]->ended; }));
   for (int i = 0; i < 5; ++i) EXPECT_EQ(Ask(Get("d" + std::to_string(i))), "200");
   EXPECT_EQ(one.requests(), 1);
@@ -210,7 +210,7 @@
   Start(servers);
   for (int i = 0; i < 40; ++i) ASSERT_EQ(Ask(Get("a" + std::to_string(i))), "200");
   answers = false;
-  Tell(List(2, false, {Entry("s3", server.address, "draining")}));
+  SendList(List(2, false, {Entry("s3", server.address, "draining")}));
   RunFor(io, 50ms);
   std::vector<std::shared_ptr<Peer>> clients;
   for (int i = 0; i < 80; ++i) clients.push_back(Client(Get("b" + std::to_string(i))));
@@ -473,7 +473,7 @@
     EXPECT_EQ(client->received.find("\r\n0\r\n"), std::string::npos);
     EXPECT_EQ(LookClass().failed, 1U);
     EXPECT_EQ(LookClass().served, 0U);
-    watching = nullptr;
+    watch_peer = nullptr;
   }
 }
 
@@ -639,10 +639,10 @@
     config.listen = Loopback();
     config.management = Loopback();
     config.shared_dir = folder;
-    watching = nullptr;
+    watch_peer = nullptr;
     sidecar = std::make_unique<Sidecar>(io, std::move(config));
     sidecar->Start();
-    ASSERT_TRUE(RunUntil(io, [&] { return watching != nullptr; }));
+    ASSERT_TRUE(RunUntil(io, [&] { return watch_peer != nullptr; }));
   }
   std::string PostManagement(const std::string& call) {
     auto caller = Connect(io, sidecar->management_address());
@@ -678,10 +678,10 @@
   EXPECT_EQ(PostManagement("down/s1"), "200");
   EXPECT_EQ(SkippedServers(), 1);
   AskMany(10);
-  Tell(List(2, true, servers));
+  SendList(List(2, true, servers));
   AskMany(10);
-  Tell(List(3, false, {Entry("s1", down.address, "removed")}));
-  Tell(List(4, false, {Entry("s1", down.address, "up", 1000)}));
+  SendList(List(3, false, {Entry("s1", down.address, "removed")}));
+  SendList(List(4, false, {Entry("s1", down.address, "up", 1000)}));
   AskMany(10);
   EXPECT_EQ(down.requests(), before);
   StartWith(servers);  // as after a restart
