--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -98,11 +98,13 @@
   bool takes_over = false;  // from a process that still serves: changes that it received take effect here too
 
   // The rules of the servers.
-  Micros drain_grace = 0;             // a server that begins to drain may still be sent to for this long
-  double slow_start_share = 1;        // share of its full capacity that a server has at its start
-  Micros slow_start_duration = 0;     // a server has its full capacity after this time
-  double overload_factor = 1;         // a server in slow start that gets more than this multiple of its ...
-  Micros overload_window = 0;         // ... capacity for this long breaks down
+  Micros drain_grace = 0;          // a server that begins to drain may still be sent to for this long
+  double slow_start_share = 1;     // share of its full capacity that a server has at its start
+  Micros slow_start_duration = 0;  // a server has its full capacity after this time
+  // A server in slow start that gets more than overload_factor times its capacity for overload_window breaks
+  // down.
+  double overload_factor = 1;
+  Micros overload_window = 0;
   bool refused_may_have_run = false;  // servers also refuse requests that they began: see Result::kRefused
   // After a timeout, reset or cancellation the next request with the same key waits for this long, as the
   // attempt may still be running.
@@ -195,7 +197,7 @@
   int attempt = 0;
   Result result = Result::kSuccess;
   Micros elapsed = 0;
-  bool final_answer_sent = false;  // the request has its final answer
+  bool final_answer_sent = false;  // the request's final answer has been sent to the client
   LoadReport load = {};
   bool body_consumed = false;  // its body was passed on without a copy: the request is not replayable
 };
@@ -247,10 +249,10 @@
 
   // Takes over an update of the list of servers.
   void OnServers(Micros now, const ListUpdate& update);
-  // Says from when on changes of the list that this sidecar has missed take effect; empty = the list is
-  // current. Once the grace period of a drain that may have been missed is over, dispatch is paused: requests
-  // wait and are then refused. The pause ends when the list is current again; where changes are only
-  // possible, it ends after a few seconds at the latest.
+  // Sets when changes of the list that this sidecar has missed take effect: from then on it has to obey them,
+  // received or not. Empty = the list is current. Once the grace period of a drain that may have been missed
+  // is over, dispatch is paused: requests wait and are then refused. The pause ends when the list is current
+  // again; where changes are only possible, it ends after a few seconds at the latest.
   void OnListStaleness(Micros now, std::optional<Micros> effective_from,
                        MissedChanges missed = MissedChanges::kPossible);
   // Whether dispatch is paused now: nothing new may be written to any server.
--- a/src/admin_down_servers.hpp
+++ b/src/admin_down_servers.hpp
@@ -12,7 +12,8 @@
 
 namespace merlinrun {
 
-// Servers are identified by their id; times are in microseconds of the Balancer's clock.
+// Records which servers are administratively down, and since when others are up again. Servers are identified
+// by their id; times are in microseconds of the Balancer's clock.
 class AdminDownServers {
  public:
   // `started`: the start time in the list; empty if the server was never listed. Returns false if the server
@@ -31,8 +32,8 @@
     entry->second.up_since = now;
     return true;
   }
-  // The list contains the server. For one that was taken down before it was listed, the first listed start
-  // time is taken as that of the process that was taken down.
+  // Called when the list contains the server. For one that was taken down before it was listed, the first
+  // listed start time is taken as that of the process that was taken down.
   void OnListed(std::string_view id, Micros started) {
     const auto entry = entries_.find(id);
     if (entry != entries_.end() && !entry->second.listed_start) entry->second.listed_start = started;
@@ -54,7 +55,7 @@
  private:
   struct Entry {
     bool down = true;
-    std::optional<Micros> listed_start;  // when it was taken down; a different one means a restart
+    std::optional<Micros> listed_start;  // as listed when it was taken down; a different one means a restart
     Micros up_since = 0;
   };
 
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -50,6 +50,7 @@
 // Parses settings in the form path=value, separated by spaces. Ignores unknown paths; absent ones have
 // defaults.
 WireSettings ParseSettings(std::string_view pairs);
+// Parses the result of an attempt.
 Result ParseResult(std::string_view word);
 // Returns the field of a load report by its name in reports, or null if the name is unknown.
 std::optional<double>* FindLoadField(LoadReport& load, std::string_view name);
@@ -57,6 +58,7 @@
 LoadReport ParseLoad(std::string_view pairs);
 // Decodes bytes from hexadecimal digits. `-` means no bytes.
 std::string ParseHex(std::string_view digits);
+// Parses the state of a server.
 ServerInfo::State ParseState(std::string_view word);
 
 // Returns the index of a name in a list, or -1 if it is not there.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -55,7 +55,8 @@
 // Returns the exit status.
 int RunSidecar() {
   boost::asio::io_context io(1);
-  // Before all else: from here on SIGHUP waits for the event loop instead of ending the process.
+  // Created before the configuration is read: from here on SIGHUP waits for the event loop instead of ending
+  // the process.
   Reloader reloader(io);
   Sidecar sidecar(io, merlinrun::net::LoadConfig(GetEnvironment));
   reloader.WaitForSignal(sidecar);
--- a/src/net/body.hpp
+++ b/src/net/body.hpp
@@ -57,7 +57,7 @@
   struct Events {
     std::function<void()> body_consumed = nullptr;  // before the first read from the source
     std::function<void()> progress = nullptr;       // a chunk has been read or written
-    // The message has been written, or writing failed; `source_failed` tells a failure to read the body.
+    // The message has been written, or writing failed; `source_failed`: the body could not be read.
     std::function<void(ErrorCode, bool source_failed)> done;
   };
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -67,7 +67,7 @@
   bool has_data() const { return has_data_; }
 
  private:
-  // Sets the timeout of the next read. Without it the call would wait for ever when the network is cut: the
+  // Sets the timeout of the next read. Without it the call would wait forever when the network is cut: the
   // connection then stays open and silent. An object that has begun has to arrive completely within the
   // answer timeout: blank lines in the middle of it are no sign of life.
   void ExpectData() {
--- a/src/net/inbound.cpp
+++ b/src/net/inbound.cpp
@@ -21,7 +21,7 @@
 using Clock = std::chrono::steady_clock;
 
 // Pause before the next accept after an error such as EMFILE; without it accepting would fail in a
-// in_progress loop.
+// busy loop.
 constexpr auto kAcceptPause = std::chrono::milliseconds(50);
 // Maximum number of bytes that are read and discarded from a client whose connection is being closed. Closing
 // a socket with unread input resets the connection, and the client might lose its answer. Beyond this number
@@ -148,7 +148,7 @@
           Close();
         }
         return;
-      case State::kInProgress:  // no timeout here, unless the client owes more of the body
+      case State::kInProgress:  // no timeout here, unless the client has to send more of the body
         if (PeerClosed()) return OnDisconnect();
         if (on_chunk_ && TimedOut(now, limits.request_timeout + BodyAllowance()))
           AbortUpload(RequestTimeout());
@@ -217,7 +217,7 @@
   }
 
   // Waits for input also while a request is in progress, to notice a client that disconnects. What arrives
-  // then (a pipelined request, or a part of the body that nobody has asked for) is buffered until the buffer
+  // then (a pipelined request, or a part of the body that is not to be read yet) is buffered until the buffer
   // is full. From then on reading stops, and EnforceTimeouts polls for a disconnected client.
   void Read() {
     if (awaiting_input_ || MaxRead() == 0) return;
--- a/src/net/inbound.hpp
+++ b/src/net/inbound.hpp
@@ -42,7 +42,7 @@
     Micros answer_timeout = 5'000'000;
     // For a persistent connection between requests.
     Micros idle_timeout = 6'000'000;
-    // When connections are short, those that have been idle for less are closed last.
+    // When connections run short, those that have been idle for less are closed last.
     Micros min_idle = 2'000'000;
     // For the client to read the answer after which its connection is closed.
     Micros linger_timeout = 1'000'000;
@@ -73,8 +73,8 @@
   Inbound(const Inbound&) = delete;
   Inbound& operator=(const Inbound&) = delete;
 
-  // What became of an answer: written completely, cut short because its source failed, or not delivered
-  // because the client disconnected.
+  // How the delivery of an answer ended: written completely, cut short because its source failed, or not
+  // delivered because the client disconnected.
   enum class Delivery { kComplete, kTruncated, kClientDisconnected };
   struct Reply {
     Message<false> message;
--- a/src/net/list_age.cpp
+++ b/src/net/list_age.cpp
@@ -7,15 +7,16 @@
 
 using std::chrono::microseconds;
 
-// A retry waits for at most this part of the time left, so that failed calls can take the rest.
+// A retry waits for at most one part in this many of the time until missed changes take effect; the rest is
+// for calls that fail.
 constexpr Micros kRetryShare = 3;
 // Once missed changes have taken effect, retries wait for random(0, base * 2^n), n being the calls that have
 // failed since, up to the cap: an overloaded discovery must not be called ever faster.
 constexpr Micros kOverdueBase = 500'000;
 constexpr Micros kOverdueCap = 2'000'000;
 constexpr int kMaxDoublings = 2;
-// The retry delay while discovery is silent: what it learns at its return takes effect at once, and it sends
-// that to the calls that are waiting then.
+// The retry delay while discovery is silent: what it learns when it is back takes effect at once, and it
+// sends that to the calls that are waiting by then.
 constexpr Micros kSilentRetry = 200'000;
 // A call is given up when missed changes take effect, but not before it has waited this long: an overloaded
 // discovery keeps its callers waiting for seconds, and a caller that gives up loses its place in the queue.
@@ -83,7 +84,7 @@
 }
 
 // A discovery that pushes its lists answers without a queue: one that lets its watches and its callers wait
-// is down. Were its silence taken for missed changes, all service would stop.
+// is down. If its silence counted as missed changes, all service would stop.
 bool ListAge::IsSilentOutage(CallResult result) const {
   return timing_.pushed && !partial_object_ &&
          (result == CallResult::kSilent || result == CallResult::kAnswerTimeout);
@@ -95,8 +96,8 @@
   if (missed == MissedChanges::kAnnounced) missed_ = missed;
 }
 
-// A discovery that cannot be reached announces no changes. Its outage postpones their effect: otherwise all
-// requests would be paused for a list that cannot have changed, and discovery called ever faster meanwhile.
+// A discovery that cannot be reached announces no changes. Its outage postpones their effect: otherwise
+// dispatch would be paused for a list that cannot have changed, and discovery called ever faster meanwhile.
 // Changes made before the outage, while discovery was reachable and not watched, take effect all the same. A
 // discovery that ends a watch and is unreachable within kImmediate was already shutting down.
 void ListAge::OnUnreachable(Time began, Time until) {
--- a/src/net/list_age.hpp
+++ b/src/net/list_age.hpp
@@ -20,8 +20,8 @@
 
   struct Timing {
     Micros missed_change_delay = 6'000'000;  // from a change to its effect, received or not
-    Micros switch_delay =
-        4'000'000;        // from a switch to another discovery to the effect of what that one lists
+    // From a switch to another discovery to the effect of what that one lists.
+    Micros switch_delay = 4'000'000;
     bool pushed = false;  // discovery pushes its lists: a change takes effect at once while no watch is open
   };
 
@@ -54,7 +54,7 @@
   void OnSwitch(Time now);
 
   // From when on missed changes take effect, if nothing more is received. None while a discovery that pushes
-  // its lists sends nothing to anybody: it is down then and learns of no change.
+  // its lists sends nothing at all: it is down then and learns of no change.
   std::optional<Time> missed_changes_take_effect_at() const {
     return silent_outage_ ? std::nullopt : std::optional(takes_effect_at_);
   }
@@ -73,8 +73,8 @@
   // Since when discovery has been reachable, as far as is known, without an open watch that would have
   // received its changes.
   std::optional<Time> unwatched_since_;
-  bool partial_object_ =
-      false;  // an object was received only in part: an outage does not postpone its effect
+  // An object was received only in part: an outage does not postpone its effect.
+  bool partial_object_ = false;
   MissedChanges missed_ = MissedChanges::kPossible;
   bool silent_outage_ = false;   // lists are pushed, and the last call got no answer or fell silent
   bool no_sign_of_life_ = true;  // from discovery, since the start or since a connection to it broke
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -118,7 +118,7 @@
                       [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnWritten(error); });
   }
 
-  // Shuts down the sending side and discards further input until the caller closes: to close a socket with
+  // Shuts down the sending side and discards further input until the caller closes: closing a socket with
   // unread input resets the connection, and the caller could lose the answer.
   void OnWritten(ErrorCode error) {
     if (owner_ == nullptr) return;
--- a/src/net/management.hpp
+++ b/src/net/management.hpp
@@ -1,6 +1,6 @@
 // The management endpoint: a small HTTP server on an address of its own, where operators ask for readiness
-// and statistics and take servers out of use. It parses requests and routes paths; the sidecar provides the
-// answers.
+// and statistics and take servers administratively down or up again. It parses requests and routes paths; the
+// sidecar provides the answers.
 #ifndef MERLINRUN_NET_MANAGEMENT_HPP_
 #define MERLINRUN_NET_MANAGEMENT_HPP_
 
@@ -35,7 +35,7 @@
   struct Handlers {
     std::function<bool()> ready;         // whether the sidecar can take requests now
     std::function<std::string()> stats;  // as JSON text
-    // Takes a server out of use (`down`) or puts it back.
+    // Takes a server administratively down (`down`) or up again.
     std::function<Reply(const std::string& server, bool down)> set_admin_down;
   };
   // In microseconds.
--- a/src/net/object_splitter.hpp
+++ b/src/net/object_splitter.hpp
@@ -14,7 +14,7 @@
 class ObjectSplitter {
  public:
   // Adds the next character. Returns false if the input cannot be JSON, as far as brackets, strings and
-  // characters tell: otherwise the caller could wait for ever for the end of an invalid object. A parser
+  // characters tell: otherwise the caller could wait forever for the end of an invalid object. A parser
   // finds all other errors in the complete object.
   bool Append(char c) {
     if (depth_ == 0) {
--- a/src/net/shared_dir.hpp
+++ b/src/net/shared_dir.hpp
@@ -1,6 +1,6 @@
 // A folder that the processes of one sidecar share and that outlives each of them. During an upgrade the old
 // and the new process run side by side; here each sees that the other is alive and which servers operators
-// have taken out of use (administratively down), and the old one leaves the state that it has learned.
+// have taken administratively down, and the old one saves its learned state for the new one.
 #ifndef MERLINRUN_NET_SHARED_DIR_HPP_
 #define MERLINRUN_NET_SHARED_DIR_HPP_
 
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -406,8 +406,8 @@
   counters_.FinishRequest(static_cast<std::size_t>(request_class), Counters::FinalStatus::kRefused);
 }
 
-void Sidecar::Respond(PendingRequest& pending, Counters::FinalStatus end, HttpResponse response) {
-  counters_.FinishRequest(pending.request_class, end);
+void Sidecar::Respond(PendingRequest& pending, Counters::FinalStatus final_status, HttpResponse response) {
+  counters_.FinishRequest(pending.request_class, final_status);
   Inbound::Respond(std::exchange(pending.session, nullptr), Inbound::MakeReply(std::move(response)));
 }
 
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -96,7 +96,7 @@
   void OnList(ListUpdate::Kind kind, const EndpointList& list);
   void OnDiscoveryFailed(Micros within);
   void OnDiscoverySignOfLife();
-  // Tells the Balancer when missed changes of the list, if any, take effect.
+  // Reports to the Balancer when missed changes of the list, if any, take effect.
   void ReportListStaleness();
   void OnRequest(const Inbound::SessionPtr& session, Message<true> request);
   // The last byte of a request with a streamed body has been written: its deadline and timeout start now.
@@ -107,13 +107,13 @@
   void FinishAttempt(const std::string& id, int attempt, Result result, const LoadReport& load = {});
   bool Ready() const;
   std::string StatsJson();
-  // Handles an operator's call that takes a server down or brings it back.
+  // Handles an operator's call that takes a server administratively down or up again.
   ManagementEndpoint::Reply OnAdminDownCall(const std::string& server, bool down);
   void SetAdminDown(const std::string& server, bool down);
   // A valid request was refused because there was no memory left to read it.
   void OnRefusedForMemory(const RequestHeader& header);
   // Answers with a response of the sidecar's own.
-  void Respond(PendingRequest& pending, Counters::FinalStatus end, HttpResponse response);
+  void Respond(PendingRequest& pending, Counters::FinalStatus final_status, HttpResponse response);
   // Forwards a server's successful answer to the client.
   void ForwardAnswer(PendingRequest& pending, UpstreamAnswer answer);
   // Counts a request without a successful answer, for the log. `reason` must be a string constant.
@@ -160,8 +160,8 @@
   std::map<std::string_view, int> unsuccessful_;  // by reason, since the last log line
   std::uint64_t taken_at_last_log_ = 0;           // requests accepted until the last log line
   std::function<void()> on_drained_;
-  Micros drain_end_ = 0;  // 0 unless draining
-  bool expedited_ = false;
+  Micros drain_end_ = 0;    // 0 unless draining
+  bool expedited_ = false;  // ExpeditePendingRequests has been called
 };
 
 }  // namespace merlinrun::net
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -62,10 +62,11 @@
 
 }  // namespace
 
+// A server of the list, with its idle connections.
 struct Upstream::Server {
   ServerInfo info;
   Tcp::endpoint address;
-  // Incremented when existing connections must not be used any more (new address, restart, brought back).
+  // Incremented when existing connections must not be used any more (new address, restart, put up again).
   std::uint64_t incarnation = 0;
   std::vector<ConnectionPtr> idle;  // the most recently used last
   bool admin_down = false;
@@ -408,7 +409,7 @@
     if (taken) taken(error, 0, true);
   }
 
-  // Tells the idle limit that a request was lost without any of its answer.
+  // Reports to the idle limit that a request was lost without any of its answer.
   void CountLostRequest() {
     if (!answer_started_) pool_.idle_limit_.Record(idle_before_, /*lost=*/true, Now());
   }
@@ -504,7 +505,7 @@
   server.CloseIdle();
 }
 
-// A server that is brought back counts as restarted, so connections from before are not used again.
+// A server that is put up again counts as restarted, so connections from before are not used again.
 void Upstream::SetAdminDown(const std::string& id, bool down) {
   if (down == (admin_down_.count(id) > 0)) return;
   if (down) {
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -30,11 +30,13 @@
   LoadReport load;                // the server's load report, present with any result
 };
 
+// Sends attempts to the listed servers over pooled connections. All callbacks come from the event loop.
 class Upstream {
  public:
   using AttemptId = std::uint64_t;
   using Done = std::function<void(UpstreamAnswer)>;
   struct Events {
+    // Called with the result of the attempt; see Send.
     Done done;
     // Called when a newly dialled connection is established. If it returns false, nothing is written and the
     // attempt ends with Result::kNeverSent.
@@ -67,7 +69,7 @@
   // are closed; requests in progress on its other connections are completed.
   void Apply(const EndpointList& list);
 
-  // Takes a server administratively down, as if it were draining, whatever the list says, or brings it back.
+  // Takes a server administratively down, as if it were draining, whatever the list says, or up again.
   void SetAdminDown(const std::string& server, bool down);
 
   // Starts an attempt. `done` is called once, from the event loop and never from within Send, unless the
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -467,12 +467,12 @@
   }
 
   // Adapts the admission when the number of servers changes: load that all of them could take overloads the
-  // remaining ones before it shows, as when half of the servers go at once; servers that are added restore
-  // it. The share is squared: an admission that good answers have raised to its maximum makes up for one
-  // server of eight, so that the replacement of one refuses nothing, but not for half of them. The plain
-  // share of min(admission, 1) refused requests for a quarter of a second at each replacement; the plain
-  // share of the whole admission would admit three quarters for half of the servers. If the removed servers
-  // were idle this refuses too much, until good answers correct it within a second.
+  // remaining ones before answers show it, as when half of the servers are removed at once; added servers
+  // raise it again. The share is squared: an admission that good answers have raised to its maximum makes up
+  // for one server of eight, so that the replacement of one refuses nothing, but not for half of them. The
+  // plain share of min(admission, 1) refused requests for a quarter of a second at each replacement; the
+  // plain share of the unclamped admission would admit three quarters for half of the servers. If the removed
+  // servers were idle this refuses too much, until good answers correct it within a second.
   static void ScaleAdmission(Pool& pool, std::size_t ring_size_before) {
     if (ring_size_before == 0 || pool.ring.empty()) return;
     const double share = static_cast<double>(pool.ring.size()) / static_cast<double>(ring_size_before);
@@ -599,9 +599,9 @@
   // Updates the admission of the pool by an outcome.
   void UpdateAdmission(const PendingRequest& request, const Server& server, const Outcome& outcome) {
     Pool& pool = pools_[server.pool];
-    // Requests without an answer are no overload signal where the concurrency limit shows it: they come from
-    // a few stalled servers or from loss on the network; nor are they one where the server recently had idle
-    // cores. Counted as overload they kept more than half of the work from idle servers for ten seconds, as
+    // Attempts without an answer are no overload signal where the concurrency limit detects overload, as they
+    // are then due to a few stalled servers or to loss on the network; nor where the server recently had idle
+    // cores. Counted as overload, they kept more than half of the work from idle servers for ten seconds, as
     // each one outweighs ten good answers. An overload without more attempts in flight than usual still shows
     // in the other answers.
     if (outcome.result == Result::kTimeout && (pool.concurrency_limited || !server.cores_busy)) return;
@@ -688,12 +688,12 @@
   }
 
   // Outlier ejection: a dead, hanging or overloaded server gets no requests for a while. A server with its
-  // trial attempt in flight counts as ejected, so that late answers eject it from a small window once and not
-  // again: one that answers in the end stays in use. A server that has served others well since the attempt
-  // was sent stays in: the request was expensive, or only its answer was affected. Without this, healthy
-  // servers are ejected by chance: at 300 requests a second with one in a hundred late, a sidecar ejected up
-  // to five of nine servers at once and the rest became overloaded. A server that hangs on one kind of
-  // request only is not ejected.
+  // trial attempt in flight counts towards the limit on ejected servers, itself included. In a small window
+  // late answers therefore eject it once and not again, and one that answers in the end stays in use. A
+  // server that has served others well since the attempt was sent stays in: the request was expensive, or
+  // only its answer was affected. Without this, healthy servers are ejected by chance: at 300 requests a
+  // second with one in a hundred late, a sidecar ejected up to five of nine servers at once and the rest
+  // became overloaded. A server that hangs on one kind of request only is not ejected.
   void MaybeEject(Server& server, Micros sent_at) {
     if (now_ < server.ejected_until || server.last_timely_answer_at > sent_at) return;
     const Pool& pool = pools_[server.pool];
@@ -741,8 +741,8 @@
   // The number alone neither shows a slow server that answers in the end nor distinguishes idle servers. A
   // server with attempts in flight that has not answered for longer than they explain looks the more loaded
   // the longer it is silent, so servers that stall, hang or vanish are avoided long before their requests are
-  // late. A server that has only expensive requests is rated too high; two of those count no more than a few
-  // others.
+  // late. The load of a server that has only expensive requests is overestimated; two of those count no more
+  // than a few others.
   double LoadScore(const PendingRequest& request, const Server& server) const {
     const double mean_answer_time = pools_[server.pool].answer_time.value;
     const double silence = mean_answer_time > 0 ? static_cast<double>(now_ - server.last_answer_at) *
--- a/src/tunables.hpp
+++ b/src/tunables.hpp
@@ -1,7 +1,7 @@
 // The tunables of the balancer, each with its unit and with what goes wrong at other values.
 //
 // "Latency ratio" is the time of an answer over the latency target of its class. "Admission" is the share of
-// the arriving work that is admitted. A memory is a number of samples: a fading mean weighs about that many.
+// the arriving work that is admitted. A memory is the number of samples that a fading mean averages over.
 #ifndef MERLINRUN_TUNABLES_HPP_
 #define MERLINRUN_TUNABLES_HPP_
 
@@ -90,7 +90,7 @@
 inline constexpr double kMinRecoveryAdmission = 0.15;
 // Some work is always admitted, as its outcomes are the only way to notice the end of an overload.
 inline constexpr double kMinAdmission = 0.05;
-// Good answers raise the admission up to this level, so that a single bad answer refuses nobody.
+// Good answers raise the admission up to this level, so that a single bad answer causes no refusals.
 inline constexpr double kMaxAdmission = 1.5;
 // Arrivals over which the mix of classes is averaged, and answers over which the usual answer time is.
 inline constexpr double kArrivalMemory = 100;
@@ -114,7 +114,7 @@
 // The minimum relative work of a request, as a multiple of what is usual for its class.
 inline constexpr double kMinRelativeWork = 0.05;
 // The answers of a server are, on average, as far apart as one answer time divided by its attempts in flight.
-// A gap of this multiple of that occurs by chance once in fifty.
+// By chance, a gap of kSilenceFactor times that occurs once in fifty.
 inline constexpr double kSilenceFactor = 4;
 // A server that fails to connect, resets, times out or misses a latency target is ejected for random(0,
 // min(kRetryCap, base * 2^n)), n being the number of such events in a row: the same backoff as for requests.
@@ -128,8 +128,8 @@
 // The maximum share of requests for which a server is skipped, so that an occasional attempt notices the
 // recovery.
 inline constexpr double kMaxSkipShare = 0.95;
-// The memory for errors. Longer than for refusals, as one answer in a thousand is an error on any server: a
-// single one must not count for much.
+// Outcomes over which a server's errors are averaged by class. Longer than for refusals, as one answer in a
+// thousand is an error on any server: a single one must not count for much.
 inline constexpr double kErrorMemory = 4;
 // At most this share of the window is ejected at once: a slowdown of all servers must not empty the window.
 inline constexpr double kMaxEjectedShare = 0.5;
