--- a/src/net/list_age.cpp
+++ b/src/net/list_age.cpp
@@ -7,8 +7,8 @@
 
 using std::chrono::microseconds;
 
-// A retry waits for at most one part in this many of the time until missed changes take effect; the rest is
-// for calls that fail.
+// A retry waits for at most one part in this many of the time until missed changes take effect, or for up to
+// kOverdueBase where that is longer; the rest of the time is for calls that fail.
 constexpr Micros kRetryShare = 3;
 // Once missed changes have taken effect, retries wait for random(0, base * 2^n), n being the calls that have
 // failed since, up to the cap: an overloaded discovery must not be called ever faster.
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -551,7 +551,7 @@
                : std::min(kLatencyRatioTargetWithReports, pool.unloaded_latency_ratio + kUnloadedRatioMargin);
   }
 
-  // The minimum of the target: a factor above the lowest mean latency ratio seen.
+  // The minimum of the target: a multiple of the lowest mean latency ratio seen, up to a maximum.
   double MinTarget(const Pool& pool) const {
     const double busy_fraction = std::clamp(
         (pool.in_flight_peak - kBusyStartInFlight) / (kBusyFullInFlight - kBusyStartInFlight), 0.0, 1.0);
@@ -725,9 +725,9 @@
     return share > 0 && random_.Unit() < share;
   }
 
-  // Skips a server by how often it recently failed this class. A server that fails fast has few attempts in
-  // flight and looks the least loaded, so it would get more requests the faster it fails. The same holds for
-  // one that lets requests time out or resets them while it serves others well, which keeps it from being
+  // Skips a server twice as often as it recently failed this class. A server that fails fast has few attempts
+  // in flight and looks the least loaded, so it would get more requests the faster it fails. The same holds
+  // for one that lets requests time out or resets them while it serves others well, which keeps it from being
   // ejected. Rates are kept by class, as a server that fails only one kind of request serves the others well,
   // which would hide it.
   bool SkipForFailures(const PendingRequest& request, const Server& server) {
@@ -798,13 +798,14 @@
       if (best == nullptr || LoadScore(request, server) < LoadScore(request, *best)) best = &server;
     }
     if (best != nullptr) return best;
-    // With no rate to earn credit by, chance decides.
+    // While no rate of served requests is known, servers in slow start cannot earn credit by it: chance
+    // decides.
     bool all_in_slow_start = served_rate_per_weight_.samples < 1;
     for (std::size_t i = 0; i < window_size; ++i)
       all_in_slow_start = all_in_slow_start && WarmupFraction(pool.InWindow(i)) < 1;
     const std::size_t start = random_.Below(window_size);
-    // Two passes: ejected servers may serve in both; servers that fail this class are skipped in the first
-    // one only.
+    // Two passes: ejected servers may be chosen in both; servers that fail this class are skipped in the
+    // first one only.
     for (std::size_t i = 0; i < 2 * window_size; ++i) {
       Server& server = pool.InWindow((start + i) % window_size);
       if (!MayUse(request, server) || (i < window_size && SkipForFailures(request, server))) continue;
@@ -900,13 +901,13 @@
   // once. The usual rate of served requests earns credit as well: when the other servers are overloaded
   // little is served, and new servers would be idle for as long as that lasts.
   bool HasSlowStartCredit(Server& server) {
-    const double warmth = WarmupFraction(server);
-    if (warmth >= 1) return true;
+    const double warmup_fraction = WarmupFraction(server);
+    if (warmup_fraction >= 1) return true;
     const Pool& pool = pools_[server.pool];
     const std::size_t window_size = WindowSize(pool, settings_);
     double total_weight = 0;
     for (std::size_t i = 0; i < window_size; ++i) total_weight += ListedWeight(pool.InWindow(i));
-    const double share = settings_.overload_factor / 2 * warmth * ListedWeight(server);
+    const double share = settings_.overload_factor / 2 * warmup_fraction * ListedWeight(server);
     const double seconds = static_cast<double>(now_ - server.slow_start_credit.updated_at) / kSecond;
     server.slow_start_credit.Earn(
         share * static_cast<double>(served_count_ - server.slow_start_credit.served_count_then) /
