--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -494,12 +494,13 @@
 TEST_F(BalancerTest, InvalidLearnedStateIsRejectedAndChangesNothing) {
   Start(MakeSettings(), 3);
   const std::string before = balancer_->ExportLearnedState();
-  const std::string torn = before.substr(0, before.size() - 2);
-  const std::string mark = before.substr(0, before.find('\n') + 1);
-  const std::string rest = before.substr(mark.size());
+  const std::string truncated = before.substr(0, before.size() - 2);
+  const std::string first_line = before.substr(0, before.find('\n') + 1);
+  const std::string rest = before.substr(first_line.size());
   for (const std::string& text :
-       {std::string(), std::string("."), torn, mark, mark + ".", mark + "x " + rest, mark + "-1 " + rest,
-        mark + "nan " + rest, mark + "1 2 3\n.\n" + rest, "x " + before, rest})
+       {std::string(), std::string("."), truncated, first_line, first_line + ".", first_line + "x " + rest,
+        first_line + "-1 " + rest, first_line + "nan " + rest, first_line + "1 2 3\n.\n" + rest,
+        "x " + before, rest})
     EXPECT_FALSE(balancer_->RestoreLearnedState(now_, text)) << text;
   EXPECT_EQ(balancer_->ExportLearnedState(), before);
   EXPECT_TRUE(balancer_->RestoreLearnedState(now_, before));
@@ -603,7 +604,7 @@
 }
 
 // Idle servers may already need a fifth of the latency target. Taking that for overload would refuse the
-// requests of low value all day on an idle fleet.
+// requests of low value all the time on an idle fleet.
 TEST_F(BalancerTest, TheLatencyOfIdleServersIsNoOverloadSignal) {
   Settings settings = MakeSettings();
   settings.classes[3].value = 10;
@@ -683,7 +684,7 @@
     }
   }
   EXPECT_LT(refused, 25);  // 100 without learning
-  EXPECT_GT(refused, 2);   // the end of the limit would be noticed
+  EXPECT_GT(refused, 2);   // enough to notice when the limit ends
   EXPECT_GT(others, 60);   // 100 of the other class are expected
 }
 
@@ -769,7 +770,7 @@
 }
 
 // In a large fleet a sidecar sends little to each server. Without statistics by machine type it would have to
-// learn anew for each server that it is slow.
+// learn separately for each server that it is slow.
 TEST_F(BalancerTest, ANewServerIsJudgedByTheLatencyOfItsMachineType) {
   Start(MakeSettings(), 3);
   const auto list = [&](int first) {
@@ -1077,7 +1078,7 @@
 }
 
 // On a network where each server lost a tenth of its requests, ejection after every reset kept half of the
-// servers ejected all day.
+// servers ejected all the time.
 TEST_F(BalancerTest, AResetDoesNotEjectAServerThatServedWithinTheLastLatencyTarget) {
   const auto sent_after_reset = [&](Micros quiet) {
     Start(MakeSettings(), 3);
@@ -1162,7 +1163,7 @@
   EXPECT_LT(sent_to_s00(Result::kReset), healthy * 4 / 10);
 }
 
-// Busy servers answer at a quarter of the latency target all day. At 300 requests per second that made a
+// Busy servers answer at a quarter of the latency target all the time. At 300 requests per second that made a
 // sidecar refuse a tenth of the requests of low value. A sidecar with many attempts in flight notices a real
 // overload soon enough, so it can tolerate higher latency.
 TEST_F(BalancerTest, ABusySidecarAdmitsAtALatencyAtWhichAQuietOneRefuses) {
@@ -1269,7 +1270,7 @@
 }
 
 TEST_F(BalancerTest, TheWindowsOfAllRanksCoverTheServersEvenly) {
-  std::map<std::string, int> hits;
+  std::map<std::string, int> windows_by_server;
   for (std::uint32_t rank = 0; rank < 40; ++rank) {
     Settings settings = MakeSettings();
     settings.rank = rank;
@@ -1277,10 +1278,10 @@
     Start(settings, 20, rank);
     std::set<std::string> used;
     for (int i = 0; i < 300; ++i) used.insert(Arrive("r" + std::to_string(i))[0].server);
-    for (const std::string& server : used) ++hits[server];
+    for (const std::string& server : used) ++windows_by_server[server];
   }
-  ASSERT_EQ(hits.size(), 20u);
-  for (const auto& [server, n] : hits) EXPECT_EQ(n, hits["s00"]) << server;
+  ASSERT_EQ(windows_by_server.size(), 20u);
+  for (const auto& [server, n] : windows_by_server) EXPECT_EQ(n, windows_by_server["s00"]) << server;
 }
 
 // Changes of the list that the previous process received take effect for the process that takes over from it.
--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -1,6 +1,6 @@
-// No attempt, neither the first nor a retry, starts for a client that has disconnected, wherever its request
-// waits at that moment: for a connection, for a retry, for the request ahead of it with the same key, behind
-// another request on the same connection, or in the accept queue.
+// Tests that no attempt, neither the first nor a retry, starts for a client that has disconnected, wherever
+// its request waits at that moment: for a connection, for a retry, for the request ahead of it with the same
+// key, behind another request on the same connection, or in the accept queue.
 #include <poll.h>
 #include <sys/socket.h>
 
--- a/tests/net/discovery_outage_test.cpp
+++ b/tests/net/discovery_outage_test.cpp
@@ -198,7 +198,7 @@
   asio::io_context io;
   std::deque<Peer*> waiting;  // calls that discovery has not answered yet
   std::size_t answered_calls = 0;
-  std::size_t complete_list_calls = 0;     // answered calls for the complete list ...
+  std::size_t complete_list_calls = 0;     // answered calls for the full list ...
   std::size_t complete_list_failures = 0;  // ... and how many of them failed
   std::size_t abandoned_calls = 0;         // calls that their sidecars closed before discovery came to them
   ScriptedServer discovery;
@@ -214,7 +214,7 @@
   EXPECT_EQ(answered_calls, 0U);
 }
 
-// Each sidecar requests the complete list once, and again only after a failed call: discovery serves no more
+// Each sidecar requests the full list once, and again only after a failed call: discovery serves no more
 // than one list for each sidecar, plus the calls that it refused.
 TEST_P(RestartedFleet, WithoutKnownServersIsReadyAfterOneListForEachSidecar) {
   Start({}, GetParam());
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The watch, its reopenings, and invalid lists.
+// Tests of the discovery watch: how it is read, when it is reopened, and how invalid lists are handled.
 #include "net/discovery.hpp"
 
 #include "loopback.hpp"
@@ -95,7 +95,7 @@
   discovery->Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return failures == 2; }));
   ASSERT_EQ(lists.size(), 2U);  // the second watch delivered its list
-  // It ended in order just now and missed nothing before, so what changes from now on takes effect later.
+  // It ended cleanly just now and missed nothing before, so what changes from now on takes effect later.
   EXPECT_GT(within, (kDay - timing.silence_timeout) / 3);
   EXPECT_LE(within, kDay / 2);
 }
@@ -113,8 +113,8 @@
   EXPECT_LE(within, (kDay - timing.answer_timeout) / 3);
 }
 
-// Missed changes take effect during the first call, which is given up later. The grace period of a drain runs
-// from then on: discovery is called again soon, with a backoff as more calls fail.
+// Missed changes take effect during the first call, which is abandoned only later. The grace period of a
+// drain runs from then on: discovery is called again soon, with a backoff as more calls fail.
 TEST_F(DiscoveryTest, RetriesBackOffOnceMissedChangesHaveTakenEffectAfterASwitch) {
   Discovery::Timing timing = LongTimeouts();
   timing.reopens_itself = false;
@@ -192,8 +192,8 @@
   EXPECT_LE(discovery->missed_changes_take_effect_at(), ListAge::Clock::now());
 }
 
-// Whatever the settings allow after a failed call, a change takes effect 6 s after a reachable discovery had
-// it: half of that is for the wait, the rest for the answer.
+// Whatever the settings allow after a failed call, a change takes effect 6 s after a reachable discovery
+// knows of it: half of that time is for the wait, the rest for the answer.
 TEST_F(DiscoveryTest, AfterAFailedCallDiscoveryIsCalledAgainBeforeAChangeTakesEffect) {
   EXPECT_EQ(Discovery::Timing().missed_change_delay, 6'000'000);
   Discovery::Timing timing = LongTimeouts();
@@ -201,9 +201,9 @@
   timing.answer_timeout = 400'000;
   ScriptedServer refusing(io, [](Peer& peer) { peer.Write(Reply("503 Service Unavailable", "")); });
   ScriptedServer silent(io);
-  ScriptedServer gone(io);
-  gone.StopListening();
-  for (const Tcp::endpoint& address : {refusing.address, gone.address, silent.address}) {
+  ScriptedServer unreachable(io);
+  unreachable.StopListening();
+  for (const Tcp::endpoint& address : {refusing.address, unreachable.address, silent.address}) {
     Discovery fresh(io, address, names, timing, 1,
                     {[](const EndpointList&) {}, [this](Micros time) { ++failures, within = time; }});
     failures = 0;
@@ -237,9 +237,10 @@
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
   ScriptedServer other(io, [](Peer& peer) {
     const bool watch = peer.received.find("stream=1&index=7 ") != std::string::npos;
-    const std::string whole = List(7, true, {Entry("s-w", {asio::ip::make_address("127.0.0.1"), 80})}).dump();
+    const std::string full_list =
+        List(7, true, {Entry("s-w", {asio::ip::make_address("127.0.0.1"), 80})}).dump();
     peer.Write(watch ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunk(Line(8, "s-b"))
-                     : Reply("200 OK", whole));
+                     : Reply("200 OK", full_list));
   });
   discovery->SwitchTo(other.address);
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 3; }));
@@ -297,7 +298,8 @@
   EXPECT_EQ(list->endpoints[0].info.machine, 1);
 }
 
-// If the start time differed from list to list, a server would seem to restart and be warmed up each time.
+// If the start time differed from list to list, a server would seem to restart and be in slow start each
+// time.
 TEST(ParseList, AServersStartIsTheSameTimeInEachList) {
   std::string error;
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 80);
--- a/tests/net/inbound_test.cpp
+++ b/tests/net/inbound_test.cpp
@@ -1,4 +1,4 @@
-// Misbehaving clients: their timeouts and limits, and the service that other clients get beside them.
+// Tests of misbehaving clients: the timeouts and limits for them, and that other clients are still served.
 #include "net/inbound.hpp"
 
 #include "loopback.hpp"
@@ -101,7 +101,7 @@
   EXPECT_TRUE(RunUntil(io, [&] { return inbound->sessions() == 0; }));
 }
 
-// Silent connections once took all places, until no more connections were accepted.
+// Silent connections once used up the connection limit, until no more connections were accepted.
 TEST_F(InboundTest, ClosesSilentConnectionsToServeNewOnes) {
   limits.max_sessions = 4;
   limits.request_timeout = 60'000'000;
--- a/tests/net/list_age_test.cpp
+++ b/tests/net/list_age_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_EQ(silent.missed_changes_take_effect_at(), kStart + seconds(10));
 }
 
-// An error status after a wait is caused by an overload or an outage. The call before it tells which.
+// An error status after a wait is caused by an overload or an outage. The call before it shows which.
 TEST_F(ListAgeTest, ALateErrorStatusIsAnOutageOnlyAfterABrokenConnection) {
   ListAge age = RequestedList();
   age.OnCallEnd(Result::kReset, kStart, kStart + seconds(2));
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -125,8 +125,8 @@
   EXPECT_TRUE(IsRunning());
 }
 
-// SIGHUP used to end the program. Now it makes the program follow the discovery address of the file, although
-// EDGE_DISCOVERY still holds the old one; an invalid file changes nothing.
+// SIGHUP must not end the program, as it once did. It makes the program follow the discovery address of the
+// file, although EDGE_DISCOVERY still has the old one; an invalid file changes nothing.
 TEST_F(ProgramTest, SighupSwitchesToTheDiscoveryAddressOfTheNewFile) {
   ScriptedServer server(io, Serves("ok"));
   ScriptedServer other(io, ServesList(List(2, true, {Entry("s1", server.address)})));
--- a/tests/net/sidecar_edge_cases_test.cpp
+++ b/tests/net/sidecar_edge_cases_test.cpp
@@ -165,9 +165,9 @@
 // ---- Watches ----
 
 // Generations of one discovery address mean nothing to another: asked for changes after a generation of the
-// first, the second may never send any. So the complete list is requested, also after a first call that
+// first, the second may never send any. So the full list is requested, also after a first call that
 // fails.
-TEST_F(SidecarEdgeCasesTest, RequestsTheCompleteListAfterAReloadWhoseFirstCallFails) {
+TEST_F(SidecarEdgeCasesTest, RequestsTheFullListAfterAReloadWhoseFirstCallFails) {
   ScriptedServer one(io, Serves("one"));
   ScriptedServer two(io, Serves("two"));
   Start({Entry("s-1", one.address)}, UseSubscribeMode);
@@ -187,9 +187,9 @@
   EXPECT_EQ(two.requests(), 1);
 }
 
-// A change takes effect 6 s after discovery had it, whatever delay the settings allow after a failed call.
-// Here they allow an hour, and with the number of sidecars used here the spread of the calls alone would be
-// half an hour.
+// A change takes effect 6 s after discovery knows of it, whatever delay the settings allow after a failed
+// call. Here they allow an hour, and with the number of sidecars used here the spread of the calls alone
+// would be half an hour.
 class RetryAfterFailedCallTest : public SidecarEdgeCasesTest, public ::testing::WithParamInterface<int> {};
 
 TEST_P(RetryAfterFailedCallTest, ComesBeforeAChangeTakesEffectWhateverTheSettingsAllow) {
@@ -208,7 +208,7 @@
 
 INSTANTIATE_TEST_SUITE_P(BySidecarCount, RetryAfterFailedCallTest, ::testing::Values(3, 300, 14'000));
 
-TEST_F(SidecarEdgeCasesTest, RequestsTheCompleteListAfterALowerGenerationInSubscribeModeToo) {
+TEST_F(SidecarEdgeCasesTest, RequestsTheFullListAfterALowerGenerationInSubscribeModeToo) {
   ScriptedServer one(io, Serves("one"));
   int calls = 0;
   discovery.on_data = [&](Peer& peer) {
--- a/tests/net/sidecar_fixture.hpp
+++ b/tests/net/sidecar_fixture.hpp
@@ -94,8 +94,8 @@
   // Sends a request on a new connection and returns the status of its answer.
   std::string Ask(const std::string& text) { return Status(*Client(text)); }
   // Keeps `in_flight` requests in flight until `count` of them have been answered, one by one. `waiting`
-  // holds the requests at the servers. A request that is refused or cancelled, which happens if the machine
-  // stalls, is sent again.
+  // contains the servers' connections whose request is unanswered; the servers' scripts add to it. A request
+  // that is refused or cancelled, which happens if the machine stalls, is sent again.
   void KeepInFlight(std::size_t in_flight, int count, std::vector<Peer*>& waiting) {
     std::vector<int> answered(in_flight, 0);
     int resent = 0;
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -181,22 +181,22 @@
 // Seen in a run with server replacements: each answer that was cut off, and each expensive request, ejected a
 // healthy server for a while, up to five of nine at once, and the others were overloaded.
 TEST_F(SidecarTest, AServerThatServesOtherRequestsIsNotEjectedForOneInvalidAnswer) {
-  const auto all_but_held = [](Peer& peer) {
+  const auto answer_others = [](Peer& peer) {
     if (peer.received.find("Req-Id: held", peer.received.rfind("Req-Id: ")) == std::string::npos)
       peer.Write(Reply("200 OK", "ok"));
   };
-  ScriptedServer one(io, all_but_held);
-  ScriptedServer two(io, all_but_held);
+  ScriptedServer one(io, answer_others);
+  ScriptedServer two(io, answer_others);
   Start({Entry("s1", one.address), Entry("s2", two.address)});
-  auto held = Client(Post("port", "held"));
+  auto unanswered = Client(Post("port", "held"));
   ASSERT_TRUE(RunUntil(io, [&] { return one.requests() + two.requests() == 1; }));
-  ScriptedServer& holder = one.requests() == 1 ? one : two;
-  for (int i = 0; holder.requests() < 5; ++i) ASSERT_EQ(Ask(Get("g" + std::to_string(i))), "200");
-  holder.peers[0]->Write("noise\r\n\r\n");
-  EXPECT_EQ(Status(*held), "502");
-  const int before = holder.requests();
+  ScriptedServer& chosen = one.requests() == 1 ? one : two;
+  for (int i = 0; chosen.requests() < 5; ++i) ASSERT_EQ(Ask(Get("g" + std::to_string(i))), "200");
+  chosen.peers[0]->Write("noise\r\n\r\n");
+  EXPECT_EQ(Status(*unanswered), "502");
+  const int before = chosen.requests();
   for (int i = 0; i < 40; ++i) EXPECT_EQ(Ask(Get("n" + std::to_string(i))), "200");
-  EXPECT_GT(holder.requests(), before + 2);
+  EXPECT_GT(chosen.requests(), before + 2);
 }
 
 // Seen in the same run: each server replacement reduced admission for a quarter of a second.
@@ -247,18 +247,18 @@
     timer->async_wait(
         [timer, kept = peer.shared_from_this()](ErrorCode) { kept->Write(Reply("200 OK", "ok")); });
   };
-  ScriptedServer good(io, delayed);
+  ScriptedServer responsive(io, delayed);
   ScriptedServer stalled(io, [&](Peer& peer) {
     if (!stalls) delayed(peer);
   });
   std::vector<nlohmann::json> servers = {Entry("s0", stalled.address)};
-  for (int i = 1; i < 7; ++i) servers.push_back(Entry("s" + std::to_string(i), good.address));
+  for (int i = 1; i < 7; ++i) servers.push_back(Entry("s" + std::to_string(i), responsive.address));
   Start(servers);
   std::vector<std::shared_ptr<Peer>> clients;
   // Sends until this many requests have reached the servers: a request that is refused, which happens on a
   // busy machine, is sent again.
   const auto send = [&](int count) {
-    const int before = good.requests() + stalled.requests();
+    const int before = responsive.requests() + stalled.requests();
     std::vector<std::shared_ptr<Peer>> open;
     for (int i = 0; i < count; ++i) {
       open.push_back(Client(Get("r" + std::to_string(clients.size()))));
@@ -271,7 +271,7 @@
         client = Client(Get("again" + std::to_string(resent++)));
         clients.push_back(client);
       }
-      return good.requests() + stalled.requests() - before >= count;
+      return responsive.requests() + stalled.requests() - before >= count;
     });
   };
   ASSERT_TRUE(send(60));  // from these the usual answer time is learned
@@ -279,11 +279,11 @@
   stalls = true;
   const int before = stalled.requests();
   ASSERT_TRUE(send(40));
-  const int held = stalled.requests() - before;
-  ASSERT_GT(held, 0);
+  const int in_flight = stalled.requests() - before;
+  ASSERT_GT(in_flight, 0);
   RunFor(io, 500ms);  // half of their latency target
   ASSERT_TRUE(send(150));
-  EXPECT_LT(stalled.requests() - before - held, 10);
+  EXPECT_LT(stalled.requests() - before - in_flight, 10);
 }
 
 // Seen in a long run: requests that no server answered caused more than half of all requests to be refused
@@ -336,11 +336,11 @@
 
 // Compares /ops/stats with what clients and servers saw.
 TEST_F(SidecarTest, StatsMatchWhatClientsAndServersSaw) {
-  std::vector<Peer*> held;
+  std::vector<Peer*> unanswered;
   ScriptedServer server(io, [&](Peer& peer) {
     const std::size_t at = peer.received.rfind("Req-Id: ") + 8;
     const std::string id = peer.received.substr(at, peer.received.find('\r', at) - at);
-    if (id[0] == 'h') return held.push_back(&peer);
+    if (id[0] == 'h') return unanswered.push_back(&peer);
     if (id[0] == 'e') return peer.Write(Reply("500 Internal Server Error", ""));
     if (id[0] == 'f') return peer.Write(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n"));
     peer.Write(Reply("200 OK", "ok"));
@@ -358,11 +358,11 @@
   EXPECT_EQ(Ask("GET /api HTTP/1.1\r\nReq-Id: x\r\nReq-Kind: none\r\n\r\n"), "404");
   // The management endpoint has its own address.
   EXPECT_EQ(Ask("GET /ops/stats HTTP/1.1\r\nReq-Id: x\r\n\r\n"), "404");
-  auto leaving = Client(get("h1"));
-  ASSERT_TRUE(RunUntil(io, [&] { return held.size() == 1; }));
-  leaving->Close();
+  auto disconnecting = Client(get("h1"));
+  ASSERT_TRUE(RunUntil(io, [&] { return unanswered.size() == 1; }));
+  disconnecting->Close();
   auto waiting = Client(get("h2"));
-  ASSERT_TRUE(RunUntil(io, [&] { return held.size() == 2 && sidecar->counters().in_progress() == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return unanswered.size() == 2 && sidecar->counters().in_progress() == 1; }));
 
   auto caller = Connect(io, sidecar->management_address());
   caller->Write("GET /ops/stats HTTP/1.1\r\n\r\n");
@@ -459,7 +459,7 @@
   EXPECT_TRUE(Body(*client) == body);
 }
 
-TEST_F(StreamTest, AnAnswerThatIsCutOffIsVisibleAsCutOff) {
+TEST_F(StreamTest, TheClientCanTellThatAStreamedAnswerIsTruncated) {
   for (const std::string framing : {"Content-Length: 1000000", "Transfer-Encoding: chunked"}) {
     ScriptedServer server(io, [&](Peer& peer) {
       peer.Write("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (framing[0] == 'T' ? "F0000\r\n" : "") +
@@ -521,9 +521,9 @@
   bool chunked = false;
   ScriptedServer server(io, [&](Peer& peer) {
     received = Body(peer);
-    const bool whole = chunked ? received.size() > 5 && received.substr(received.size() - 5) == "0\r\n\r\n"
-                               : received.size() == body.size();
-    if (!whole) return;
+    const bool complete = chunked ? received.size() > 5 && received.substr(received.size() - 5) == "0\r\n\r\n"
+                                  : received.size() == body.size();
+    if (!complete) return;
     peer.received.clear();  // the next request may use the same connection
     peer.Write(Reply("200 OK", "ok"));
   });
@@ -545,8 +545,8 @@
 // A request can be retried until more of its body than the buffered part has been forwarded.
 TEST_F(StreamTest, ALongRequestIsRetriedOnlyWhileItsBodyIsFullyBuffered) {
   const std::string body = Pattern(std::size_t{1} << 20);
-  ScriptedServer gone(io);
-  gone.StopListening();
+  ScriptedServer unreachable_server(io);
+  unreachable_server.StopListening();
   std::string received;
   bool breaks = false;
   ScriptedServer server(io, [&](Peer& peer) {
@@ -556,7 +556,7 @@
     peer.received.clear();
     peer.Write(Reply("200 OK", "ok"));
   });
-  Start({Entry("s1", gone.address), Entry("s2", server.address)});
+  Start({Entry("s1", unreachable_server.address), Entry("s2", server.address)});
   const std::string framing = "Content-Length: " + std::to_string(body.size());
   for (int i = 0; i < 4; ++i) {  // some of them try the unreachable server first
     auto client = Connect(io, sidecar->address());
@@ -764,20 +764,20 @@
 TEST_F(AdminDownTest, WithTheLastServerDownRequestsAreRefusedAndThoseInProgressFinish) {
   ScriptedServer server(io);
   StartWith({Entry("s1", server.address)});
-  auto under_way = Client(Get("r1"));
+  auto unfinished = Client(Get("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   EXPECT_EQ(PostManagement("down/s1"), "200");
   EXPECT_EQ(Ask(Get("r2")), "503");
   EXPECT_EQ(server.requests(), 1);
   server.peers[0]->Write(Reply("200 OK", "ok"));
-  EXPECT_EQ(Status(*under_way), "200");
+  EXPECT_EQ(Status(*unfinished), "200");
 }
 
 TEST_F(SidecarTest, ADrainAcceptsLateClientsAndFinishesPendingRequests) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto idle = Connect(io, sidecar->address());
-  auto held = Client(Get("r1"));
+  auto pending = Client(Get("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   bool finished = false;
   std::shared_ptr<Peer> late;
@@ -799,7 +799,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return checked; }));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 2; }));
   for (auto& peer : server.peers) peer->Write(Reply("200 OK", "ok"));
-  for (const auto& client : {held, late}) {
+  for (const auto& client : {pending, late}) {
     EXPECT_EQ(Status(*client), "200");
     EXPECT_NE(client->received.find("Connection: close\r\n"), std::string::npos);
     ASSERT_TRUE(RunUntil(io, [&] { return client->ended; }));
--- a/tests/net/upstream_test.cpp
+++ b/tests/net/upstream_test.cpp
@@ -192,7 +192,7 @@
   acceptor.async_accept(
       [&](ErrorCode, Tcp::socket socket) { peer = std::make_unique<Peer>(std::move(socket)); });
   ApplyEntry(acceptor.local_endpoint());
-  Send("s1", 64U * 1024 * 1024);  // far more than the kernel buffers, and nobody reads it
+  Send("s1", 64U * 1024 * 1024);  // far more than the kernel buffers, and the server does not read it
   ASSERT_TRUE(RunUntil(io, [&] { return peer != nullptr; }));
   RunFor(io, 50ms);
   EXPECT_TRUE(answers.empty());
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,5 @@
 // Property tests: runs a Balancer through random but valid sequences of events and checks that it obeys the
-// rules that a single sidecar can be held to: no new requests to a draining server, no repeat of a request
+// rules that a single sidecar has to obey: no new requests to a draining server, no repeat of a request
 // that must not run twice, order among requests with the same key, and one answer in time to each request.
 // The checker sees only events and actions and shares no code with the balancer.
 #include <gtest/gtest.h>
@@ -110,7 +110,7 @@
  private:
   struct ServerRecord {
     ServerInfo info;
-    Micros unusable_since = 0;  // when the balancer was told
+    Micros unusable_since = 0;  // when the balancer received the change
     bool usable = false;
     bool listed = false;
   };
@@ -145,7 +145,7 @@
 struct RunResult {
   std::set<std::string> violations;
   int sends = 0, repeats = 0, refusals = 0, failures = 0;
-  std::size_t pending = 0;  // requests that the balancer still holds at the end
+  std::size_t pending = 0;  // requests still pending in the balancer at the end
 };
 
 // Runs one random sequence of events: arrivals, outcomes of every kind, changes of the list, clients that
@@ -362,9 +362,9 @@
               }).count("request that must not be repeated was sent again"));
 }
 
-// Tests the checker on the optional rules (refusals that prove nothing, order by key, the wait after a
-// doubtful outcome): a balancer whose settings leave them out breaks each of them, and the checker has to
-// report it.
+// Tests the checker on the optional rules (a refused request may have run, order by key, the wait after a
+// doubtful outcome, one that does not show whether the request ran): a balancer whose settings leave them out
+// breaks each of them, and the checker has to report it.
 TEST(Rules, CheckerReportsABalancerWithoutTheOptionalRules) {
   Settings complete = SettingsVariants().back();
   complete.settle_after_doubt = 500 * kMs;
--- a/tests/slow_start_scenario.hpp
+++ b/tests/slow_start_scenario.hpp
@@ -130,7 +130,7 @@
   bool up = true;
   int starts = 0;
   std::vector<Micros> core_free_at;  // one entry per core
-  std::deque<Micros> finish_times;   // of the requests that it holds
+  std::deque<Micros> finish_times;   // of its unfinished requests
   std::deque<SlowStartSend> window;  // received since its start and within the last overload_window
   double sent = 0, sent_informed = 0;
   std::size_t start_index = 0;  // index in FleetResult::starts
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -60,9 +60,9 @@
   return fleets;
 }
 
-// Tests the measurement itself: balancers without slow start, or with too high a limit, have to break the
-// rule.
-TEST(SlowStart, TheMeasurementReportsBalancersThatDoNotKnowTheRule) {
+// Tests the measurement itself: balancers without slow start, or with too high a limit, have to be
+// reported as breaking the rule.
+TEST(SlowStart, TheMeasurementReportsBalancersThatBreakTheRule) {
   EXPECT_GT(CountViolatingFleets(200, [](Settings& s) { s.slow_start_duration = 0; }), 20);
   EXPECT_GT(CountViolatingFleets(200, [](Settings& s) { s.overload_factor *= 20; }), 20);
   EXPECT_GT(CountViolatingFleets(200, [](Settings& s) { s.slow_start_share = 1; }), 5);
--- a/tests/stale_list_test.cpp
+++ b/tests/stale_list_test.cpp
@@ -42,7 +42,7 @@
   int arrived = 0;
 };
 
-// The drain grace is 500 ms here. The guard keeps 205 ms of it for a delay between the decision and the
+// The drain grace is 500 ms here. The guard reserves 205 ms of it for a delay between the decision and the
 // write.
 TEST_F(StaleListTest, PausesDispatchOnceTheGraceOfAPossiblyMissedDrainEnds) {
   balancer->OnListStaleness(10 * kSec, 12 * kSec);
