--- a/relay/admission.cpp
+++ b/relay/admission.cpp
@@ -2,38 +2,38 @@
 
 namespace merlinrun::relay {
 
-void Admission::EnterCall(const Taker& taker) {
-  if (sending_ < limits_.sent_at_once) return Admit(taker);
-  if (waiting_calls_ >= limits_.waiting) return taker->OnRefused();
+void Admission::SubmitCall(const ReceiverPtr& receiver) {
+  if (sending_ < limits_.max_concurrent) return Admit(receiver);
+  if (waiting_calls_ >= limits_.max_waiting_calls) return receiver->OnRefused();
   ++waiting_calls_;
-  calls_.push_back({taker, Clock::now()});
+  calls_.push_back({receiver, Clock::now()});
 }
 
-void Admission::EnterWatch(const Taker& taker) {
-  if (sending_ < limits_.sent_at_once) return Admit(taker);
-  watches_.push_back({taker, Clock::now()});
+void Admission::SubmitWatch(const ReceiverPtr& receiver) {
+  if (sending_ < limits_.max_concurrent) return Admit(receiver);
+  watches_.push_back({receiver, Clock::now()});
 }
 
-void Admission::Admit(const Taker& taker) {
+void Admission::Admit(const ReceiverPtr& receiver) {
   ++sending_;
-  taker->OnAdmitted();
+  receiver->OnAdmitted();
 }
 
-// The first that still waits, or null.
-Admission::Taker Admission::First(Queue& queue) {
+// Returns the first receiver of the queue that is still waiting, or null. Drops those that are not.
+Admission::ReceiverPtr Admission::FirstWaiting(Queue& queue) {
   while (!queue.empty()) {
-    auto taker = queue.front().taker.lock();
-    if (taker != nullptr && taker->WantsList()) return taker;
+    auto receiver = queue.front().receiver.lock();
+    if (receiver != nullptr && receiver->AwaitsFullList()) return receiver;
     queue.pop_front();
   }
   return nullptr;
 }
 
-void Admission::Leave() {
+void Admission::Release() {
   --sending_;
-  while (sending_ < limits_.sent_at_once) {
-    const Taker call = First(calls_);
-    const Taker watch = First(watches_);
+  while (sending_ < limits_.max_concurrent) {
+    const ReceiverPtr call = FirstWaiting(calls_);
+    const ReceiverPtr watch = FirstWaiting(watches_);
     if (call == nullptr && watch == nullptr) return;
     const bool call_is_next =
         watch == nullptr || (call != nullptr && calls_.front().since <= watches_.front().since);
@@ -43,10 +43,10 @@
   }
 }
 
-void Admission::Expire() {
+void Admission::RefuseExpiredCalls() {
   const auto now = Clock::now();
-  while (const Taker call = First(calls_)) {
-    if (now - calls_.front().since < limits_.longest_wait) return;
+  while (const ReceiverPtr call = FirstWaiting(calls_)) {
+    if (now - calls_.front().since < limits_.max_wait) return;
     calls_.pop_front();
     --waiting_calls_;
     call->OnRefused();
--- a/relay/admission.hpp
+++ b/relay/admission.hpp
@@ -1,5 +1,5 @@
-// Load shedding for whole lists: so many are sent at once, others wait in a bounded queue, and what would
-// wait too long is refused.
+// Load shedding for full lists: limits how many are sent at the same time. Further calls wait in a bounded
+// queue and are refused if it is full or the wait takes too long.
 #ifndef MERLINRUN_RELAY_ADMISSION_HPP_
 #define MERLINRUN_RELAY_ADMISSION_HPP_
 
@@ -10,51 +10,55 @@
 
 namespace merlinrun::relay {
 
-// Whoever has to be sent a whole list. Once it is over it no longer wants it.
-class ListTaker {
+// A connection that has to be sent a full list.
+class FullListReceiver {
  public:
-  virtual ~ListTaker() = default;
-  virtual bool WantsList() const = 0;
-  virtual void OnAdmitted() = 0;  // to call Admission::Leave once the list is sent, or the connection over
+  virtual ~FullListReceiver() = default;
+  // Whether it is still waiting. False once the connection has ended.
+  virtual bool AwaitsFullList() const = 0;
+  // Must call Admission::Release once the list has been sent or the connection has ended.
+  virtual void OnAdmitted() = 0;
   virtual void OnRefused() = 0;
 };
 
 class Admission {
  public:
   using Clock = std::chrono::steady_clock;
-  using Taker = std::shared_ptr<ListTaker>;
+  using ReceiverPtr = std::shared_ptr<FullListReceiver>;
 
   struct Limits {
-    std::size_t sent_at_once = 64;
-    std::size_t waiting = 1024;  // calls; watches that are open already are few enough by themselves
-    std::chrono::milliseconds longest_wait{2000};
+    std::size_t max_concurrent = 64;
+    std::size_t max_waiting_calls = 1024;  // open watches that wait are not limited: there are few of them
+    std::chrono::milliseconds max_wait{2000};
   };
 
   explicit Admission(Limits limits) : limits_(limits) {}
 
-  // A call that has not been answered: it is admitted, waits, or is refused, at once or after its wait.
-  void EnterCall(const Taker& taker);
-  // A watch that is open: it waits as long as it takes.
-  void EnterWatch(const Taker& taker);
+  // Admits, queues or refuses a call that has not been answered yet. A queued call is admitted or refused
+  // later.
+  void SubmitCall(const ReceiverPtr& receiver);
+  // Admits or queues an open watch. It is never refused.
+  void SubmitWatch(const ReceiverPtr& receiver);
 
-  void Leave();
-  // Calls that nobody waits for any more: they make room in the queue.
-  void GiveUp() { --waiting_calls_; }
-  // Refuses who has waited too long. To be called some times a second.
-  void Expire();
+  // Frees the slot of an admitted receiver and admits the next one.
+  void Release();
+  // To be called when the connection of a queued call has ended: frees its place in the queue.
+  void CancelWaitingCall() { --waiting_calls_; }
+  // Refuses the calls that have waited too long. To be called several times a second.
+  void RefuseExpiredCalls();
 
   std::size_t sending() const { return sending_; }
-  std::size_t waiting() const { return waiting_calls_; }
+  std::size_t waiting_calls() const { return waiting_calls_; }
 
  private:
   struct Waiting {
-    std::weak_ptr<ListTaker> taker;
+    std::weak_ptr<FullListReceiver> receiver;
     Clock::time_point since;
   };
   using Queue = std::deque<Waiting>;
 
-  void Admit(const Taker& taker);
-  static Taker First(Queue& queue);
+  void Admit(const ReceiverPtr& receiver);
+  static ReceiverPtr FirstWaiting(Queue& queue);
 
   const Limits limits_;
   std::size_t sending_ = 0;
--- a/relay/feed.cpp
+++ b/relay/feed.cpp
@@ -6,67 +6,67 @@
 namespace merlinrun::relay {
 namespace {
 
-// Texts kept for those who stand at different points. All who keep up stand at the same one.
-constexpr std::size_t kMostTexts = 32;
+// Number of cached updates, one for each position of a client. Clients that keep up share the same position.
+constexpr std::size_t kMaxCachedUpdates = 32;
 
 }  // namespace
 
-Feed::Feed(net::asio::io_context& io, std::size_t history, std::chrono::milliseconds batch,
+Feed::Feed(net::asio::io_context& io, std::size_t max_tombstones, std::chrono::milliseconds batch,
            std::function<void()> on_batch)
-    : store_(history),
+    : store_(max_tombstones),
       batch_(batch),
       on_batch_(std::move(on_batch)),
       timer_(io),
-      life_(std::make_shared<Feed*>(this)) {}
+      lifetime_(std::make_shared<Feed*>(this)) {}
 
-void Feed::Take(const nlohmann::json& object) {
+void Feed::Apply(const nlohmann::json& object) {
   const bool known = store_.known();
-  if (!store_.Take(object)) return;
-  if (!known) return;  // nobody could be told anything before
-  // Begun anew, or far ahead of what has been written: those texts lead nowhere.
-  if (whole_ && !store_.Reaches(whole_->position)) ForgetTexts();
-  if (waiting_) return;
-  if (Clock::now() >= next_) return Publish();
-  waiting_ = true;
-  timer_.expires_at(next_);
-  timer_.async_wait([life = std::weak_ptr<Feed*>(life_)](net::ErrorCode stopped) {
-    const auto self = life.lock();
+  if (!store_.Apply(object)) return;
+  if (!known) return;  // there are no watches yet
+  // The list has been replaced, or the cached texts are so old that no delta from their position is possible.
+  if (full_list_ && !store_.CoversChangesAfter(full_list_->position)) ClearCache();
+  if (publish_scheduled_) return;
+  if (Clock::now() >= next_batch_at_) return Publish();
+  publish_scheduled_ = true;
+  timer_.expires_at(next_batch_at_);
+  timer_.async_wait([lifetime = std::weak_ptr<Feed*>(lifetime_)](net::ErrorCode stopped) {
+    const auto self = lifetime.lock();
     if (self != nullptr && !stopped) (*self)->Publish();
   });
 }
 
 void Feed::Publish() {
-  waiting_ = false;
-  next_ = Clock::now() + batch_;
+  publish_scheduled_ = false;
+  next_batch_at_ = Clock::now() + batch_;
   ++batches_;
-  published_ = store_.position();
-  ForgetTexts();
+  published_position_ = store_.position();
+  ClearCache();
   on_batch_();
 }
 
-void Feed::ForgetTexts() {
-  whole_.reset();
-  after_.clear();
+void Feed::ClearCache() {
+  full_list_.reset();
+  updates_by_position_.clear();
 }
 
-Feed::Told Feed::Whole() {
-  if (!whole_) whole_ = Told{std::make_shared<const Text>(store_.Whole()), store_.position()};
-  return *whole_;
+Feed::Update Feed::FullList() {
+  if (!full_list_) full_list_ = Update{std::make_shared<const Text>(store_.FullList()), store_.position()};
+  return *full_list_;
 }
 
-std::optional<Feed::Told> Feed::After(Position from) {
-  if (!store_.Reaches(from)) return std::nullopt;
-  if (from >= published_) return Told{nullptr, from};  // the rest comes with the next batch
-  return FirstAfter(from);
+std::optional<Feed::Update> Feed::UpdateAfter(Position from) {
+  if (!store_.CoversChangesAfter(from)) return std::nullopt;
+  if (from >= published_position_) return Update{nullptr, from};  // later changes are part of the next batch
+  return FirstUpdateAfter(from);
 }
 
-std::optional<Feed::Told> Feed::FirstAfter(Position from) {
-  if (!store_.Reaches(from)) return std::nullopt;
-  const auto known = after_.find(from);
-  if (known != after_.end()) return known->second;
-  if (after_.size() >= kMostTexts) after_.clear();
-  const Told told{std::make_shared<const Text>(store_.After(from)), store_.position()};
-  return after_.emplace(from, told).first->second;
+std::optional<Feed::Update> Feed::FirstUpdateAfter(Position from) {
+  if (!store_.CoversChangesAfter(from)) return std::nullopt;
+  const auto cached = updates_by_position_.find(from);
+  if (cached != updates_by_position_.end()) return cached->second;
+  if (updates_by_position_.size() >= kMaxCachedUpdates) updates_by_position_.clear();
+  const Update update{std::make_shared<const Text>(store_.ChangesAfter(from)), store_.position()};
+  return updates_by_position_.emplace(from, update).first->second;
 }
 
 }  // namespace merlinrun::relay
--- a/relay/feed.hpp
+++ b/relay/feed.hpp
@@ -1,4 +1,4 @@
-// Batches the changes of the list and writes each batch once for all who are told.
+// Batches the changes of the list and serializes each batch once for all watches.
 #ifndef MERLINRUN_RELAY_FEED_HPP_
 #define MERLINRUN_RELAY_FEED_HPP_
 
@@ -21,27 +21,27 @@
   using Clock = std::chrono::steady_clock;
   using Position = ListStore::Position;
 
-  struct Told {
-    TextPtr text;  // null if there is nothing to tell
-    Position position = 0;
+  struct Update {
+    TextPtr text;           // null if there is nothing to send
+    Position position = 0;  // of a client that has received the text
   };
 
-  // `on_batch` is called when all who watch are to be told: at once for the first change after a quiet time,
-  // then once for all changes of each `batch`.
-  Feed(net::asio::io_context& io, std::size_t history, std::chrono::milliseconds batch,
+  // `on_batch` is called when updates have to be sent to all watches: at once for the first change after a
+  // quiet time, then once for all changes within each `batch`.
+  Feed(net::asio::io_context& io, std::size_t max_tombstones, std::chrono::milliseconds batch,
        std::function<void()> on_batch);
   Feed(const Feed&) = delete;
   Feed& operator=(const Feed&) = delete;
 
-  void Take(const nlohmann::json& object);
+  void Apply(const nlohmann::json& object);
 
-  // The whole list, and what is told to one who stands at `from`: empty if that takes the whole list. Both
-  // are written once a batch, so between two batches they may lack the latest changes; the next batch has
-  // them.
-  Told Whole();
-  std::optional<Told> After(Position from);
-  // The same, but an object also where nothing has changed: the first one of a watch.
-  std::optional<Told> FirstAfter(Position from);
+  // Return the full list, and the changes after `from`, or nothing if a client at `from` needs the full list.
+  // Both are serialized once per batch, so between two batches they may lack the latest changes, which the
+  // next batch contains.
+  Update FullList();
+  std::optional<Update> UpdateAfter(Position from);
+  // Like UpdateAfter, but returns an object even if nothing has changed. It is the first object of a watch.
+  std::optional<Update> FirstUpdateAfter(Position from);
 
   const ListStore& store() const { return store_; }
   ListStore& store() { return store_; }
@@ -49,19 +49,19 @@
 
  private:
   void Publish();
-  void ForgetTexts();
+  void ClearCache();
 
   ListStore store_;
   const std::chrono::milliseconds batch_;
   const std::function<void()> on_batch_;
   net::asio::steady_timer timer_;
-  Clock::time_point next_;  // no batch before then
-  bool waiting_ = false;
+  Clock::time_point next_batch_at_;  // the earliest time of the next batch
+  bool publish_scheduled_ = false;
   std::uint64_t batches_ = 0;
-  Position published_ = 0;  // what the last batch brought everybody to
-  std::optional<Told> whole_;
-  std::unordered_map<Position, Told> after_;  // by where it begins
-  std::shared_ptr<Feed*> life_;               // handlers hold it weakly
+  Position published_position_ = 0;  // of the last batch
+  std::optional<Update> full_list_;
+  std::unordered_map<Position, Update> updates_by_position_;  // by the position before the update
+  std::shared_ptr<Feed*> lifetime_;                           // timer handlers hold a weak pointer to it
 };
 
 }  // namespace merlinrun::relay
--- a/relay/list_store.hpp
+++ b/relay/list_store.hpp
@@ -1,5 +1,6 @@
-// What a relay knows of the servers: each entry with its text as it came and the generation at which it last
-// changed, ordered by it, so that the changes after any point hold each entry once, however often it changed.
+// The list of servers that a relay keeps. Each entry is stored with its JSON text and the generation of its
+// last change. Entries are ordered by their last change, so a delta contains each entry once, however often
+// the entry has changed.
 #ifndef MERLINRUN_RELAY_LIST_STORE_HPP_
 #define MERLINRUN_RELAY_LIST_STORE_HPP_
 
@@ -18,72 +19,76 @@
 
 class ListStore {
  public:
-  // A position among the changes: this process's own count, which goes on where generations begin anew.
+  // Counts the changes that this process has applied. Unlike the generation, it never decreases, even when
+  // the upstream's generations start over.
   using Position = std::uint64_t;
 
-  // Keeps up to `history` removed entries, to tell of them.
-  explicit ListStore(std::size_t history) : history_(history) {}
-  ListStore(const ListStore&) = delete;  // entries are found by references into them
+  // Keeps up to `max_tombstones` removed entries, so that their removal can be part of a delta.
+  explicit ListStore(std::size_t max_tombstones) : max_tombstones_(max_tombstones) {}
+  ListStore(const ListStore&) = delete;  // `by_id_` refers to the entries of this object
   ListStore& operator=(const ListStore&) = delete;
 
-  // Takes an object that the upstream has told and net::Discovery accepted. A whole list of a lower
-  // generation begins anew; any other is compared with what is held. True if there is something to tell.
-  bool Take(const nlohmann::json& object);
+  // Applies an object from the upstream that net::Discovery has accepted. A full list with a lower generation
+  // replaces the stored list; a full list with the same or a higher one is compared with it. Returns whether
+  // there are changes to send.
+  bool Apply(const nlohmann::json& object);
 
-  bool known() const { return known_; }
+  bool known() const { return known_; }  // whether a list has been received or restored
   std::int64_t generation() const { return generation_; }
-  // Whoever knows less than this generation can be told the whole list alone.
-  std::int64_t floor() const { return floor_; }
+  // The lowest generation from which a delta is possible. Clients with an older list need the full list.
+  std::int64_t min_delta_generation() const { return min_delta_generation_; }
   Position position() const { return position_; }
   std::size_t entries() const { return live_.size(); }
-  std::size_t tombstones() const { return removed_.size(); }
+  std::size_t tombstones() const { return tombstones_.size(); }
 
-  // Where somebody stands who knows the list as of generation `index`; empty if only the whole list can tell
-  // the changes since. `index` is no higher than the generation.
-  std::optional<Position> Find(std::int64_t index) const;
+  // Returns the position of a client that has the list of generation `index`, or nothing if that client needs
+  // the full list. `index` must not exceed the current generation.
+  std::optional<Position> FindPosition(std::int64_t index) const;
 
-  // Whether the changes after this position are still known.
-  bool Reaches(Position position) const { return position >= floor_position_; }
+  // Whether a delta from this position is still possible.
+  bool CoversChangesAfter(Position position) const { return position >= min_delta_position_; }
 
-  // Objects of the protocol, without a line's end. `After` needs a position that is reached.
-  std::string Whole() const;
-  std::string After(Position position) const;
+  // Return objects of the discovery protocol, without a trailing newline. ChangesAfter may only be called if
+  // CoversChangesAfter returns true for the position.
+  std::string FullList() const;
+  std::string ChangesAfter(Position position) const;
 
-  // For the state file. `Restore` leaves an empty store, and says why, if the text is not what `Saved` wrote.
-  std::string Saved() const;
+  // For the state file. Restore returns false, sets `error` and leaves the store empty if Serialize did not
+  // write the text.
+  std::string Serialize() const;
   bool Restore(const std::string& text, std::string& error);
 
  private:
   struct Entry {
     std::string id;
     std::string text;
-    std::int64_t generation = 0;  // at which it last changed
-    Position position = 0;
+    std::int64_t generation = 0;  // of the last change
+    Position position = 0;        // of the last change
     bool removed = false;
   };
   using Entries = std::list<Entry>;
-  // Generations, first and last, that were passed over: what changed and changed back meanwhile is not known,
-  // so who stands there is told the whole list.
+  // The first and last generation of a range from which no delta is possible: what changed and changed back
+  // in between is not known. Clients that have a list of such a generation need the full list.
   using Gap = std::pair<std::int64_t, std::int64_t>;
 
   void Clear();
-  void Begin(const nlohmann::json& object);
-  bool TakeWhole(const nlohmann::json& instances, std::int64_t generation);
+  void ResetTo(const nlohmann::json& object);
+  bool ApplyFullList(const nlohmann::json& instances, std::int64_t generation);
   void Put(const nlohmann::json& json, std::int64_t generation, Position position);
-  void Place(Entry entry);
-  void Bury();
-  void SkipTo(std::int64_t first, std::int64_t last);
+  void Insert(Entry entry);  // as the latest change, replacing an entry with the same id
+  void TrimTombstones();
+  void AddGap(std::int64_t first, std::int64_t last);
   void RestoreFrom(const nlohmann::json& json);
 
-  const std::size_t history_;
+  const std::size_t max_tombstones_;
   bool known_ = false;
   std::int64_t generation_ = 0;
-  std::int64_t floor_ = 0;
+  std::int64_t min_delta_generation_ = 0;
   Position position_ = 0;
-  Position floor_position_ = 0;
-  Entries live_;                                                   // the longest unchanged first
-  Entries removed_;                                                // the longest removed first
-  std::unordered_map<std::string_view, Entries::iterator> by_id_;  // of both
+  Position min_delta_position_ = 0;
+  Entries live_;        // in the order of the last change, oldest first
+  Entries tombstones_;  // in the order of removal, oldest first
+  std::unordered_map<std::string_view, Entries::iterator> by_id_;  // in `live_` and `tombstones_`
   std::vector<Gap> gaps_;
 };
 
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -1,5 +1,5 @@
 // rookhub_relay: passes the list of servers on from discovery to many sidecars.
-// Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the command line makes no sense.
+// Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the command line is invalid.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -19,8 +19,9 @@
 
 using merlinrun::relay::Relay;
 
-// What escapes a handler ends that handler and not the relay, with all its watches.
-void RunToTheEnd(boost::asio::io_context& io) {
+// Runs the event loop until it is stopped. An exception that escapes a handler is logged and ends only that
+// handler, not the relay with all its watches.
+void RunUntilStopped(boost::asio::io_context& io) {
   for (;;) {
     try {
       io.run();
@@ -46,14 +47,14 @@
     std::fprintf(stderr, "rookhub_relay: cannot listen: %s\n", error.what());
     return 1;
   }
-  RunToTheEnd(io);
+  RunUntilStopped(io);
   return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that has left is an error of the write, not the end
+  std::signal(SIGPIPE, SIG_IGN);  // writing to a closed connection then returns an error instead
   spdlog::set_default_logger(spdlog::stderr_logger_st("relay"));
   try {
     return Serve(std::vector<std::string>(argv + 1, argv + argc));
--- a/relay/options.cpp
+++ b/relay/options.cpp
@@ -10,21 +10,22 @@
 namespace merlinrun::relay {
 namespace {
 
-// Descriptors for all but connections: the loop's own, listeners, the upstream, the state file.
-constexpr rlim_t kReserved = 64;
-constexpr std::int64_t kMostMs = 60'000;
+// Descriptors that are not available for connections: those of the event loop, the listeners, the upstream
+// and the state file.
+constexpr rlim_t kReservedDescriptors = 64;
+constexpr std::int64_t kMaxMs = 60'000;
 
-net::Tcp::endpoint Address(const std::string& option, const std::string& text) {
+net::Tcp::endpoint ParseAddressOption(const std::string& option, const std::string& text) {
   const auto address = net::ParseAddress(text);
   if (!address) throw OptionsError(option + " '" + text + "': not an address with a port");
   return *address;
 }
 
-std::size_t MostConnections() {
+std::size_t MaxConnections() {
   rlimit limit{};
-  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return Server::Limits().connections;
+  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return Server::Limits().max_connections;
   if (limit.rlim_cur == RLIM_INFINITY) return std::numeric_limits<std::int32_t>::max();
-  return static_cast<std::size_t>(std::max(limit.rlim_cur, 2 * kReserved) - kReserved);
+  return static_cast<std::size_t>(std::max(limit.rlim_cur, 2 * kReservedDescriptors) - kReservedDescriptors);
 }
 
 }  // namespace
@@ -34,26 +35,30 @@
   std::vector<std::string> listen;
   std::string upstream;
   std::string state;
-  std::int64_t batch = config.batch.count();
-  std::int64_t longest_wait = config.limits.whole_lists.longest_wait.count();
-  Config read = config;
-  app.add_option("--listen", listen, "address to serve at; more than one may be given")
+  std::int64_t batch = config.batch_interval.count();
+  std::int64_t max_wait = config.limits.admission.max_wait.count();
+  Config parsed = config;
+  app.add_option("--listen", listen, "address to listen at; may be given more than once")
       ->required()
       ->expected(1)
       ->take_all();
-  app.add_option("--upstream", upstream, "address of discovery, or of the relay above")->required();
-  app.add_option("--state", state, "file that keeps the list over a restart");
-  app.add_option("--batch-ms", batch, "changes that come within it are told as one")
-      ->check(CLI::Range(std::int64_t{0}, kMostMs));
-  app.add_option("--whole-lists", read.limits.whole_lists.sent_at_once, "whole lists being sent at once")
+  app.add_option("--upstream", upstream, "address of discovery, or of the upstream relay")->required();
+  app.add_option("--state", state, "file that saves the list over a restart");
+  app.add_option("--batch-ms", batch, "changes within this time are sent as one object")
+      ->check(CLI::Range(std::int64_t{0}, kMaxMs));
+  app.add_option("--whole-lists", parsed.limits.admission.max_concurrent,
+                 "maximum number of full lists that are sent at once")
       ->check(CLI::Range(1, 1'000'000));
-  app.add_option("--waiting", read.limits.whole_lists.waiting, "calls that may wait for a whole list")
+  app.add_option("--waiting", parsed.limits.admission.max_waiting_calls,
+                 "maximum number of calls that wait for a full list")
       ->check(CLI::Range(0, 1'000'000));
-  app.add_option("--longest-wait-ms", longest_wait, "the wait for it, then 503")
-      ->check(CLI::Range(std::int64_t{0}, kMostMs));
-  app.add_option("--history", read.history, "removed entries that are remembered")
+  app.add_option("--longest-wait-ms", max_wait,
+                 "maximum wait for a full list; after it a call is answered with 503")
+      ->check(CLI::Range(std::int64_t{0}, kMaxMs));
+  app.add_option("--history", parsed.max_tombstones,
+                 "maximum number of removed entries that are kept for deltas")
       ->check(CLI::Range(0, 100'000'000));
-  app.add_option("--seed", read.seed, "of the jitter");
+  app.add_option("--seed", parsed.seed, "seed for the jitter on reconnects");
   std::vector<std::string> reversed(arguments.rbegin(), arguments.rend());
   try {
     app.parse(std::move(reversed));
@@ -65,13 +70,13 @@
     std::replace(line.begin(), line.end(), '\n', ' ');
     throw OptionsError(line);
   }
-  for (const std::string& text : listen) read.listen.push_back(Address("--listen", text));
-  read.upstream = Address("--upstream", upstream);
-  read.state = state;
-  read.batch = std::chrono::milliseconds(batch);
-  read.limits.whole_lists.longest_wait = std::chrono::milliseconds(longest_wait);
-  read.limits.connections = MostConnections();
-  config = std::move(read);
+  for (const std::string& text : listen) parsed.listen.push_back(ParseAddressOption("--listen", text));
+  parsed.upstream = ParseAddressOption("--upstream", upstream);
+  parsed.state_path = state;
+  parsed.batch_interval = std::chrono::milliseconds(batch);
+  parsed.limits.admission.max_wait = std::chrono::milliseconds(max_wait);
+  parsed.limits.max_connections = MaxConnections();
+  config = std::move(parsed);
   return true;
 }
 
--- a/relay/options.hpp
+++ b/relay/options.hpp
@@ -1,4 +1,4 @@
-// What the command line says.
+// The command line of rookhub_relay.
 #ifndef MERLINRUN_RELAY_OPTIONS_HPP_
 #define MERLINRUN_RELAY_OPTIONS_HPP_
 
@@ -10,14 +10,15 @@
 
 namespace merlinrun::relay {
 
-// A command line that makes no sense. `what()` is one plain line.
+// An invalid command line. what() is one line.
 class OptionsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// `arguments` without the program's name. Throws OptionsError; prints the help and leaves `config` untouched
-// if that is asked for: false then. The limit of connections follows from the descriptors that are allowed.
+// Parses `arguments`, which exclude the program's name, into `config`. Throws OptionsError if they are
+// invalid. If help is requested, prints it, leaves `config` unchanged and returns false. The limit of
+// connections is derived from the process's limit of file descriptors.
 bool ParseOptions(const std::vector<std::string>& arguments, Config& config);
 
 }  // namespace merlinrun::relay
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -9,21 +9,21 @@
 namespace merlinrun::relay {
 
 Relay::Relay(net::asio::io_context& io, const Config& config)
-    : feed_(io, config.history, config.batch, [this] { server_.TellAll(); }),
-      state_(io, config.state, feed_.store()),
+    : feed_(io, config.max_tombstones, config.batch_interval, [this] { server_.SendUpdatesToAll(); }),
+      state_file_(io, config.state_path, feed_.store()),
       server_(io, config.listen, config.limits, feed_,
-              {[this] { return Status(); }, [this] { return HeardOut(); }}),
-      first_words_(config.first_words),
-      upstream_(io, config.upstream, no_names_, config.timing, config.seed,
+              {[this] { return Status(); }, [this] { return UpstreamCaughtUp(); }}),
+      catch_up_time_(config.catch_up_time),
+      upstream_(io, config.upstream, empty_names_, config.timing, config.seed,
                 {[](const net::EndpointList&) {}, [this](Micros) { OnFailed(); },
-                 [this](const nlohmann::json& object) { OnObject(object); }, [this] { OnHeard(); }}),
-      last_heard_(Clock::now()) {
-  state_.Read(feed_.store());
+                 [this](const nlohmann::json& object) { OnObject(object); }, [this] { OnData(); }}),
+      last_data_at_(Clock::now()) {
+  state_file_.Read(feed_.store());
   if (feed_.store().known()) upstream_.SetKnownGeneration(feed_.store().generation());
   upstream_.Watch();
 }
 
-Relay::~Relay() { state_.Flush(); }
+Relay::~Relay() { state_file_.Flush(); }
 
 void Relay::OnObject(const nlohmann::json& object) {
   ++upstream_objects_;
@@ -31,47 +31,47 @@
   const bool known = store.known();
   const auto generation = store.generation();
   const auto position = store.position();
-  feed_.Take(object);
-  if ((!known || store.generation() < generation) && begun_log_.Due())
-    spdlog::info("upstream: a list begins at generation {}", store.generation());
-  if (store.generation() != generation || store.position() != position) state_.OnChange();
+  feed_.Apply(object);
+  if ((!known || store.generation() < generation) && new_list_log_.Allows())
+    spdlog::info("upstream: new list at generation {}", store.generation());
+  if (store.generation() != generation || store.position() != position) state_file_.OnChange();
 }
 
-void Relay::OnHeard() {
-  last_heard_ = Clock::now();
-  if (std::exchange(heard_, true)) return;
-  heard_since_ = last_heard_;
-  if (heard_log_.Due()) spdlog::info("upstream: heard");
+void Relay::OnData() {
+  last_data_at_ = Clock::now();
+  if (std::exchange(upstream_connected_, true)) return;
+  connected_since_ = last_data_at_;
+  if (connected_log_.Allows()) spdlog::info("upstream: connected");
 }
 
 void Relay::OnFailed() {
-  ++upstream_ends_;
-  if (std::exchange(heard_, false) && lost_log_.Due())
-    spdlog::warn("upstream: lost; what is known is served on");
+  ++upstream_failures_;
+  if (std::exchange(upstream_connected_, false) && lost_log_.Allows())
+    spdlog::warn("upstream: connection lost; the known list is still served");
 }
 
 std::string Relay::Status() const {
   const ListStore& store = feed_.store();
   const Server::Counts& counts = server_.counts();
-  const std::chrono::duration<double> unheard = Clock::now() - last_heard_;
+  const std::chrono::duration<double> silence = Clock::now() - last_data_at_;
   const nlohmann::json status = {{"known", store.known()},
                                  {"generation", store.generation()},
-                                 {"floor", store.floor()},
+                                 {"floor", store.min_delta_generation()},
                                  {"entries", store.entries()},
                                  {"tombstones", store.tombstones()},
                                  {"connections", server_.connections()},
                                  {"watches", server_.watches()},
-                                 {"upstream_connected", heard_},
-                                 {"upstream_unheard_s", unheard.count()},
+                                 {"upstream_connected", upstream_connected_},
+                                 {"upstream_unheard_s", silence.count()},
                                  {"upstream_objects", upstream_objects_},
-                                 {"upstream_ends", upstream_ends_},
+                                 {"upstream_ends", upstream_failures_},
                                  {"batches", feed_.batches()},
                                  {"objects", counts.objects},
-                                 {"whole_lists", counts.whole_lists},
+                                 {"whole_lists", counts.full_lists},
                                  {"refused", counts.refused},
-                                 {"turned_away", counts.turned_away},
+                                 {"turned_away", counts.rejected_connections},
                                  {"calls", counts.calls},
-                                 {"watches_begun", counts.watches},
+                                 {"watches_begun", counts.watches_begun},
                                  {"bytes_out", counts.bytes_out}};
   return status.dump() + "\n";
 }
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -19,68 +19,70 @@
 struct Config {
   std::vector<net::Tcp::endpoint> listen;
   net::Tcp::endpoint upstream;
-  std::string state;                     // a file; empty: begins empty at each start
-  std::chrono::milliseconds batch{500};  // changes that come within it are told as one
-  std::size_t history = 20'000;          // removed entries that are remembered
+  std::string state_path;                         // state file; empty: none, each start begins without a list
+  std::chrono::milliseconds batch_interval{500};  // changes within it are sent as one object
+  std::size_t max_tombstones = 20'000;            // removed entries that are kept for deltas
   std::uint64_t seed = 0;
   Server::Limits limits;
-  net::Discovery::Timing timing;  // of the watch above
-  // Heard for so long, what the upstream told first has come whole.
-  std::chrono::milliseconds first_words{2000};
+  net::Discovery::Timing timing;  // of the upstream watch
+  // This long after the first data of a call, the first object of the upstream is assumed to be complete.
+  std::chrono::milliseconds catch_up_time{2000};
 };
 
 class Relay {
  public:
-  // Throws boost::system::system_error if it cannot listen. Serves at once if the state file knows a list.
+  // Throws boost::system::system_error if it cannot listen. Serves at once if the state file contains a list.
   Relay(net::asio::io_context& io, const Config& config);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  // JSON: what the relay knows, whom it serves and what that took.
+  // Returns the state of the list, the connections and the counters as JSON.
   std::string Status() const;
 
   const std::vector<net::Tcp::endpoint>& addresses() const { return server_.addresses(); }
   const Server& server() const { return server_; }
   const Feed& feed() const { return feed_; }
-  bool upstream_heard() const { return heard_; }
+  bool upstream_connected() const { return upstream_connected_; }
 
  private:
   using Clock = std::chrono::steady_clock;
 
-  // A kind of line on the log, at most once a second.
-  class Seldom {
+  // Limits one kind of log line to one per second.
+  class LogRateLimit {
    public:
-    bool Due() {
+    bool Allows() {
       const auto now = Clock::now();
-      if (now < next_) return false;
-      next_ = now + std::chrono::seconds(1);
+      if (now < next_at_) return false;
+      next_at_ = now + std::chrono::seconds(1);
       return true;
     }
 
    private:
-    Clock::time_point next_;
+    Clock::time_point next_at_;
   };
 
-  bool HeardOut() const { return heard_ && Clock::now() - heard_since_ >= first_words_; }
+  bool UpstreamCaughtUp() const {
+    return upstream_connected_ && Clock::now() - connected_since_ >= catch_up_time_;
+  }
   void OnObject(const nlohmann::json& object);
-  void OnHeard();
+  void OnData();
   void OnFailed();
 
   Feed feed_;
-  StateFile state_;
+  StateFile state_file_;
   Server server_;
-  const std::chrono::milliseconds first_words_;
-  const drill::WireSettings no_names_;  // zones and the like are passed on as they are
+  const std::chrono::milliseconds catch_up_time_;
+  const drill::WireSettings empty_names_;  // so zones and other names are passed on unchanged
   net::Discovery upstream_;
-  bool heard_ = false;  // since the last call's end
-  Clock::time_point heard_since_;
-  Clock::time_point last_heard_;
-  Seldom heard_log_;
-  Seldom lost_log_;
-  Seldom begun_log_;
+  bool upstream_connected_ = false;  // data has been received since the last call ended
+  Clock::time_point connected_since_;
+  Clock::time_point last_data_at_;
+  LogRateLimit connected_log_;
+  LogRateLimit lost_log_;
+  LogRateLimit new_list_log_;
   std::uint64_t upstream_objects_ = 0;
-  std::uint64_t upstream_ends_ = 0;
+  std::uint64_t upstream_failures_ = 0;
 };
 
 }  // namespace merlinrun::relay
--- a/relay/server.cpp
+++ b/relay/server.cpp
@@ -12,55 +12,55 @@
 
 namespace {
 
-// How long accepting rests when descriptors have run out: guards against a loop that spins on EMFILE.
-constexpr auto kAcceptPause = std::chrono::milliseconds(50);
+// Delay after a failed accept. Without it the event loop would spin on EMFILE when descriptors have run out.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
 
 }  // namespace
 
-struct Server::Door {
-  Door(net::asio::io_context& io, const Tcp::endpoint& address)
-      : acceptor(io, address, /*reuse_addr=*/true), pause(io) {}
+struct Server::Listener {
+  Listener(net::asio::io_context& io, const Tcp::endpoint& address)
+      : acceptor(io, address, /*reuse_addr=*/true), retry_timer(io) {}
 
   Tcp::acceptor acceptor;
-  net::asio::steady_timer pause;
+  net::asio::steady_timer retry_timer;
 };
 
 Server::Server(net::asio::io_context& io, const std::vector<Tcp::endpoint>& listen, Limits limits, Feed& feed,
-               Asks asks)
+               Callbacks callbacks)
     : io_(io),
       limits_(limits),
       feed_(feed),
-      asks_(std::move(asks)),
-      admission_(limits.whole_lists),
-      next_tick_(Clock::now() + kTick),
+      callbacks_(std::move(callbacks)),
+      admission_(limits.admission),
+      next_tick_(Clock::now() + kTickInterval),
       timer_(io),
-      life_(std::make_shared<Server*>(this)) {
+      lifetime_(std::make_shared<Server*>(this)) {
   for (const Tcp::endpoint& address : listen) {
-    doors_.push_back(std::make_shared<Door>(io, address));
-    addresses_.push_back(doors_.back()->acceptor.local_endpoint());
+    listeners_.push_back(std::make_shared<Listener>(io, address));
+    addresses_.push_back(listeners_.back()->acceptor.local_endpoint());
   }
-  for (const auto& door : doors_) Accept(door);
+  for (const auto& listener : listeners_) Accept(listener);
   ScheduleTick();
 }
 
 Server::~Server() {
-  for (const auto& slot : slots_)
-    for (const Session::Ptr& session : slot) session->Abandon();
+  for (const auto& slot : tick_slots_)
+    for (const Session::Ptr& session : slot) session->CloseWithoutRemoval();
 }
 
-void Server::Accept(const std::shared_ptr<Door>& door) {
-  door->acceptor.async_accept(
-      [life = std::weak_ptr<Server*>(life_), door](ErrorCode error, Tcp::socket socket) {
-        const auto self = life.lock();
+void Server::Accept(const std::shared_ptr<Listener>& listener) {
+  listener->acceptor.async_accept(
+      [lifetime = std::weak_ptr<Server*>(lifetime_), listener](ErrorCode error, Tcp::socket socket) {
+        const auto self = lifetime.lock();
         if (self == nullptr || error == net::asio::error::operation_aborted) return;
         if (!error) {
           (*self)->Add(std::move(socket));
-          return (*self)->Accept(door);
+          return (*self)->Accept(listener);
         }
-        door->pause.expires_after(kAcceptPause);
-        door->pause.async_wait([life, door](ErrorCode stopped) {
-          const auto owner = life.lock();
-          if (owner != nullptr && !stopped) (*owner)->Accept(door);
+        listener->retry_timer.expires_after(kAcceptRetryDelay);
+        listener->retry_timer.async_wait([lifetime, listener](ErrorCode stopped) {
+          const auto owner = lifetime.lock();
+          if (owner != nullptr && !stopped) (*owner)->Accept(listener);
         });
       });
 }
@@ -68,49 +68,52 @@
 void Server::Add(Tcp::socket socket) {
   ErrorCode error;
   socket.non_blocking(true, error);
-  if (error || connections_ >= limits_.connections) {
-    ++counts_.turned_away;
-    return;  // closes it
+  if (error || connections_ >= limits_.max_connections) {
+    ++counts_.rejected_connections;
+    return;  // destroying the socket closes the connection
   }
   const auto session = std::make_shared<Session>(*this, std::move(socket));
-  // The emptiest slot: connections that come in one burst do not have their blank lines in one.
-  const auto slot = std::min_element(slots_.begin(), slots_.end(), [](const auto& one, const auto& other) {
-    return one.size() < other.size();
-  });
-  session->place = {static_cast<std::size_t>(slot - slots_.begin()), slot->insert(slot->end(), session)};
+  // Into the slot with the fewest sessions, so that the heartbeats of connections that arrive in a burst are
+  // spread over the interval.
+  const auto slot =
+      std::min_element(tick_slots_.begin(), tick_slots_.end(),
+                       [](const auto& one, const auto& other) { return one.size() < other.size(); });
+  session->tick_slot = {static_cast<std::size_t>(slot - tick_slots_.begin()),
+                        slot->insert(slot->end(), session)};
   ++connections_;
-  heads_.push_back({Clock::now() + limits_.head, session});
+  head_deadlines_.push_back({Clock::now() + limits_.head_timeout, session});
   session->Start();
 }
 
-void Server::Remove(Session& session, bool held_slot, bool waited) {
-  slots_[session.place.slot].erase(session.place.at);
+void Server::Remove(Session& session, bool was_admitted, bool was_waiting_call) {
+  tick_slots_[session.tick_slot.index].erase(session.tick_slot.entry);
   --connections_;
-  if (waited) admission_.GiveUp();
-  if (held_slot) FreeSlot();
+  if (was_waiting_call) admission_.CancelWaitingCall();
+  if (was_admitted) ReleaseAdmission();
 }
 
-// Later: the next one's list may be written at once, and its slot be free again, and so on: not on one stack.
-void Server::FreeSlot() {
-  net::asio::post(io_, [life = std::weak_ptr<Server*>(life_)] {
-    if (const auto self = life.lock()) (*self)->admission_.Leave();
+// Posted instead of called: the list of the next receiver may be written at once, which releases its slot
+// again, and so on. Direct calls would make the recursion as deep as the queue is long.
+void Server::ReleaseAdmission() {
+  net::asio::post(io_, [lifetime = std::weak_ptr<Server*>(lifetime_)] {
+    if (const auto self = lifetime.lock()) (*self)->admission_.Release();
   });
 }
 
-void Server::ExpectEnd(const Session::Ptr& session) {
-  lingers_.push_back({Clock::now() + limits_.linger, session});
+void Server::StartLingerTimeout(const Session::Ptr& session) {
+  linger_deadlines_.push_back({Clock::now() + limits_.linger_timeout, session});
 }
 
-void Server::TellAll() {
-  std::vector<Session::Ptr> all;  // sessions may end meanwhile
+void Server::SendUpdatesToAll() {
+  std::vector<Session::Ptr> all;  // a copy, because sessions may end during the loop
   all.reserve(connections_);
-  for (const auto& slot : slots_) all.insert(all.end(), slot.begin(), slot.end());
-  for (const Session::Ptr& session : all) session->Tell();
+  for (const auto& slot : tick_slots_) all.insert(all.end(), slot.begin(), slot.end());
+  for (const Session::Ptr& session : all) session->SendUpdates();
 }
 
 std::size_t Server::watches() const {
   std::ptrdiff_t count = 0;
-  for (const auto& slot : slots_)
+  for (const auto& slot : tick_slots_)
     count += std::count_if(slot.begin(), slot.end(), [](const Session::Ptr& session) {
       return session->phase() == Session::Phase::kWatching;
     });
@@ -119,26 +122,28 @@
 
 void Server::ScheduleTick() {
   timer_.expires_at(next_tick_);
-  timer_.async_wait([life = std::weak_ptr<Server*>(life_)](ErrorCode stopped) {
-    const auto self = life.lock();
+  timer_.async_wait([lifetime = std::weak_ptr<Server*>(lifetime_)](ErrorCode stopped) {
+    const auto self = lifetime.lock();
     if (self != nullptr && !stopped) (*self)->Tick();
   });
 }
 
 void Server::Tick() {
-  const std::vector<Session::Ptr> due(slots_[slot_].begin(), slots_[slot_].end());
-  slot_ = (slot_ + 1) % kSlots;
+  const std::vector<Session::Ptr> due(tick_slots_[next_tick_slot_].begin(),
+                                      tick_slots_[next_tick_slot_].end());
+  next_tick_slot_ = (next_tick_slot_ + 1) % kTickSlots;
   for (const Session::Ptr& session : due) session->Tick();
-  CloseLate(heads_, Session::Phase::kHead);
-  CloseLate(lingers_, Session::Phase::kLingering);
-  admission_.Expire();
-  // By the schedule, so that a slot's turn comes every 2 s; a process that stood still begins a new one.
-  next_tick_ += kTick;
-  if (Clock::now() - next_tick_ > kRound) next_tick_ = Clock::now();
+  CloseOverdue(head_deadlines_, Session::Phase::kReadingHead);
+  CloseOverdue(linger_deadlines_, Session::Phase::kLingering);
+  admission_.RefuseExpiredCalls();
+  // Ticks follow a fixed schedule, so that each slot is handled every 2 s. If the process was stopped for
+  // longer than that, a new schedule starts now.
+  next_tick_ += kTickInterval;
+  if (Clock::now() - next_tick_ > kHeartbeatInterval) next_tick_ = Clock::now();
   ScheduleTick();
 }
 
-void Server::CloseLate(Deadlines& deadlines, Session::Phase phase) {
+void Server::CloseOverdue(Deadlines& deadlines, Session::Phase phase) {
   const auto now = Clock::now();
   while (!deadlines.empty() && deadlines.front().at <= now) {
     const Session::Ptr session = deadlines.front().session.lock();
--- a/relay/session.cpp
+++ b/relay/session.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::string_view kListPath = "/v1/endpoints";
 constexpr std::string_view kStatusPath = "/status";
-constexpr std::size_t kMostDiscarded = std::size_t{64} * 1024;
+constexpr std::size_t kMaxDiscardedBytes = std::size_t{64} * 1024;
 constexpr const char* kWatchHead =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nCache-Control: no-store\r\n"
     "Transfer-Encoding: chunked\r\n\r\n";
@@ -42,8 +42,8 @@
   return index;
 }
 
-// Not an error of what was said.
-bool IsOfTheConnection(const ErrorCode& error) {
+// Returns whether the connection failed or ended, as opposed to a malformed call.
+bool IsConnectionError(const ErrorCode& error) {
   return error == http::error::end_of_stream ||
          (error && (error.category() == net::asio::error::get_system_category() ||
                     error.category() == net::asio::error::get_misc_category()));
@@ -51,14 +51,14 @@
 
 }  // namespace
 
-struct Session::Head {
+struct Session::RequestHead {
   net::beast::flat_buffer buffer{2 * net::kMaxHeader};
   http::request_parser<http::empty_body> parser;
 };
 
-Session::Session(Server& owner, net::Tcp::socket socket)
-    : owner_(&owner), socket_(std::move(socket)), head_(std::make_unique<Head>()) {
-  head_->parser.header_limit(net::kMaxHeader);
+Session::Session(Server& server, net::Tcp::socket socket)
+    : server_(&server), socket_(std::move(socket)), request_head_(std::make_unique<RequestHead>()) {
+  request_head_->parser.header_limit(net::kMaxHeader);
 }
 
 Session::~Session() = default;
@@ -66,53 +66,54 @@
 void Session::Start() {
   ErrorCode ignored;
   socket_.set_option(net::Tcp::no_delay(true), ignored);
-  // What a slow peer has not taken waits here as one delta, and not as a row of old ones in the kernel.
-  socket_.set_option(net::asio::socket_base::send_buffer_size(owner_->limits().send_buffer), ignored);
-  http::async_read_header(socket_, head_->buffer, head_->parser,
+  // A small send buffer: changes for a slow peer are then merged into one delta here, instead of queueing as
+  // many old deltas in the kernel.
+  socket_.set_option(net::asio::socket_base::send_buffer_size(server_->limits().send_buffer), ignored);
+  http::async_read_header(socket_, request_head_->buffer, request_head_->parser,
                           [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnHead(error); });
 }
 
-void Session::Abandon() {
-  if (phase_ == Phase::kOver) return;
-  phase_ = Phase::kOver;
-  owner_ = nullptr;
-  waits_ = false;
+void Session::CloseWithoutRemoval() {
+  if (phase_ == Phase::kClosed) return;
+  phase_ = Phase::kClosed;
+  server_ = nullptr;
+  awaits_full_list_ = false;
   text_.reset();
   ErrorCode ignored;
   socket_.close(ignored);
 }
 
 void Session::Close() {
-  if (owner_ == nullptr) return;
-  Server* const owner = owner_;
-  const bool held = holds_slot_;
-  const bool waited = waits_ && phase_ == Phase::kWaiting;
+  if (server_ == nullptr) return;
+  Server* const server = server_;
+  const bool was_admitted = admitted_;
+  const bool was_waiting_call = awaits_full_list_ && phase_ == Phase::kWaiting;
   const Ptr self = shared_from_this();
-  Abandon();
-  owner->Remove(*this, held, waited);
+  CloseWithoutRemoval();
+  server->Remove(*this, was_admitted, was_waiting_call);
 }
 
 void Session::OnHead(ErrorCode error) {
-  if (owner_ == nullptr) return;
-  if (IsOfTheConnection(error)) return Close();
-  owner_->CountCall();
+  if (server_ == nullptr) return;
+  if (IsConnectionError(error)) return Close();
+  server_->CountCall();
   if (error == http::error::header_limit || error == http::error::buffer_overflow)
-    return Refuse(http::status::request_header_fields_too_large, "the call is too long\n");
-  if (error || !net::HasUnambiguousFraming(head_->parser.get()))
-    return Refuse(http::status::bad_request, "malformed call\n");
+    return AnswerError(http::status::request_header_fields_too_large, "the call is too long\n");
+  if (error || !net::HasUnambiguousFraming(request_head_->parser.get()))
+    return AnswerError(http::status::bad_request, "malformed call\n");
   Answer();
-  head_.reset();
+  request_head_.reset();
 }
 
 void Session::Answer() {
-  const auto& call = head_->parser.get();
+  const auto& call = request_head_->parser.get();
   const std::string_view target = net::ToStringView(call.target());
   const std::string_view path = target.substr(0, target.find('?'));
-  if (path != kListPath && path != kStatusPath) return Refuse(http::status::not_found, "unknown call\n");
+  if (path != kListPath && path != kStatusPath) return AnswerError(http::status::not_found, "unknown call\n");
   if (call.method() != http::verb::get)
-    return Refuse(http::status::method_not_allowed, "another method\n", "GET");
+    return AnswerError(http::status::method_not_allowed, "another method\n", "GET");
   if (path == kStatusPath)
-    return AnswerWith(http::status::ok, "application/json", std::make_shared<const Text>(owner_->Status()));
+    return AnswerWith(http::status::ok, "application/json", std::make_shared<const Text>(server_->Status()));
   AnswerEndpoints(path.size() < target.size() ? target.substr(path.size() + 1) : std::string_view());
 }
 
@@ -121,135 +122,136 @@
   const auto index_text = Parameter(query, "index");
   const auto index = index_text ? ParseIndex(*index_text) : std::nullopt;
   if ((stream && *stream != "1" && *stream != "0") || (index_text && !index))
-    return Refuse(http::status::bad_request, "malformed query\n");
-  const ListStore& store = owner_->feed().store();
+    return AnswerError(http::status::bad_request, "malformed query\n");
+  const ListStore& store = server_->feed().store();
   if (!store.known())
-    return owner_->CountRefused(), Refuse(http::status::service_unavailable, "no list yet\n");
-  wants_watch_ = stream && *stream == "1";
-  if (wants_watch_ && index && *index > store.generation()) {
-    ahead_ = index;
+    return server_->CountRefused(), AnswerError(http::status::service_unavailable, "no list yet\n");
+  watch_requested_ = stream && *stream == "1";
+  if (watch_requested_ && index && *index > store.generation()) {
+    awaited_generation_ = index;
     return BeginWatch({});
   }
-  if (wants_watch_ && index) position_ = store.Find(*index);
+  if (watch_requested_ && index) position_ = store.FindPosition(*index);
   if (position_) {
-    if (const auto told = owner_->feed().FirstAfter(*position_)) return BeginWatch(*told);
+    if (const auto update = server_->feed().FirstUpdateAfter(*position_)) return BeginWatch(*update);
   }
   phase_ = Phase::kWaiting;
-  waits_ = true;
-  Discard();
-  owner_->admission().EnterCall(shared_from_this());
+  awaits_full_list_ = true;
+  DiscardInput();
+  server_->admission().SubmitCall(shared_from_this());
 }
 
 void Session::OnAdmitted() {
-  waits_ = false;
-  holds_slot_ = true;
-  owner_->CountWhole();
+  awaits_full_list_ = false;
+  admitted_ = true;
+  server_->CountFullList();
   if (phase_ == Phase::kWatching) {
-    if (!writing_) Next();
+    if (!writing_) SendNext();
     return;
   }
-  sends_whole_ = true;
-  const Feed::Told whole = owner_->feed().Whole();
-  if (wants_watch_) return BeginWatch(whole);
-  AnswerWith(http::status::ok, "application/json", whole.text);
+  sending_full_list_ = true;
+  const Feed::Update full_list = server_->feed().FullList();
+  if (watch_requested_) return BeginWatch(full_list);
+  AnswerWith(http::status::ok, "application/json", full_list.text);
 }
 
 void Session::OnRefused() {
-  waits_ = false;
-  owner_->CountRefused();
-  Refuse(http::status::service_unavailable, "too many calls for the whole list\n");
+  awaits_full_list_ = false;
+  server_->CountRefused();
+  AnswerError(http::status::service_unavailable, "too many calls for the whole list\n");
 }
 
-void Session::Refuse(http::status status, const char* text, const char* allow) {
+void Session::AnswerError(http::status status, const char* text, const char* allow) {
   AnswerWith(status, "text/plain", std::make_shared<const Text>(text), allow);
 }
 
 void Session::AnswerWith(http::status status, const char* type, TextPtr text, const char* allow) {
   phase_ = Phase::kAnswering;
-  lead_ = "HTTP/1.1 " + std::to_string(static_cast<unsigned>(status)) + " " +
-          std::string(http::obsolete_reason(status)) + "\r\nContent-Type: " + type +
-          "\r\nContent-Length: " + std::to_string(text->body.size()) +
-          "\r\nCache-Control: no-store\r\nConnection: close\r\n" +
-          (allow == nullptr ? "" : std::string("Allow: ") + allow + "\r\n") + "\r\n";
+  prefix_ = "HTTP/1.1 " + std::to_string(static_cast<unsigned>(status)) + " " +
+            std::string(http::obsolete_reason(status)) + "\r\nContent-Type: " + type +
+            "\r\nContent-Length: " + std::to_string(text->body.size()) +
+            "\r\nCache-Control: no-store\r\nConnection: close\r\n" +
+            (allow == nullptr ? "" : std::string("Allow: ") + allow + "\r\n") + "\r\n";
   text_ = std::move(text);
-  out_ = {net::asio::buffer(lead_), net::asio::buffer(text_->body), {}, {}};
-  began_ = progress_ = Clock::now();
-  Push();
+  buffers_ = {net::asio::buffer(prefix_), net::asio::buffer(text_->body), {}, {}};
+  write_started_at_ = last_progress_at_ = Clock::now();
+  ContinueWrite();
 }
 
-// Nothing in `told`: a sign of life, and what there is to tell later.
-void Session::BeginWatch(const Feed::Told& told) {
+// Without a text in `update`, only the header and a heartbeat are sent; updates follow later.
+void Session::BeginWatch(const Feed::Update& update) {
   phase_ = Phase::kWatching;
-  if (told.text != nullptr) position_ = told.position;
-  owner_->CountWatch();
-  Discard();
-  WriteChunk(kWatchHead, told.text);
+  if (update.text != nullptr) position_ = update.position;
+  server_->CountWatch();
+  DiscardInput();
+  WriteChunk(kWatchHead, update.text);
 }
 
-// A blank line where there is no text.
-void Session::WriteChunk(std::string head, TextPtr text) {
-  lead_ = std::move(head);
+// Writes the prefix and the text as one chunk, or a heartbeat if there is no text.
+void Session::WriteChunk(std::string prefix, TextPtr text) {
+  prefix_ = std::move(prefix);
   text_ = std::move(text);
   if (text_ != nullptr) {
-    out_ = {net::asio::buffer(lead_), net::asio::buffer(text_->chunk_head), net::asio::buffer(text_->body),
-            net::asio::buffer(std::string_view(kChunkTail))};
+    buffers_ = {net::asio::buffer(prefix_), net::asio::buffer(text_->chunk_head),
+                net::asio::buffer(text_->body), net::asio::buffer(std::string_view(kChunkTail))};
   } else {
-    out_ = {net::asio::buffer(lead_), net::asio::buffer(std::string_view(kBlankChunk)), {}, {}};
+    buffers_ = {net::asio::buffer(prefix_), net::asio::buffer(std::string_view(kHeartbeatChunk)), {}, {}};
   }
-  began_ = progress_ = Clock::now();
-  Push();
+  write_started_at_ = last_progress_at_ = Clock::now();
+  ContinueWrite();
 }
 
-// Writes what the socket takes; the rest when it takes more.
-void Session::Push() {
+// Writes as much as the socket accepts, and the rest when it becomes writable again.
+void Session::ContinueWrite() {
   writing_ = true;
   for (;;) {
     ErrorCode error;
-    std::size_t taken = socket_.write_some(out_, error);
+    std::size_t written = socket_.write_some(buffers_, error);
     if (error == net::asio::error::would_block || error == net::asio::error::try_again) break;
     if (error) return Close();
-    owner_->CountBytes(taken);
-    progress_ = Clock::now();
-    for (auto& piece : out_) {
-      const std::size_t of_this = std::min(taken, piece.size());
-      piece += of_this;
-      taken -= of_this;
+    server_->CountBytes(written);
+    last_progress_at_ = Clock::now();
+    for (auto& part : buffers_) {
+      const std::size_t count = std::min(written, part.size());
+      part += count;
+      written -= count;
     }
-    if (net::asio::buffer_size(out_) == 0) return OnWritten();
+    if (net::asio::buffer_size(buffers_) == 0) return OnWritten();
   }
   socket_.async_wait(net::Tcp::socket::wait_write, [self = shared_from_this()](ErrorCode error) {
-    if (self->owner_ == nullptr) return;
+    if (self->server_ == nullptr) return;
     if (error) return self->Close();
-    self->Push();
+    self->ContinueWrite();
   });
 }
 
 void Session::OnWritten() {
   writing_ = false;
   text_.reset();
-  lead_ = {};
-  if (std::exchange(sends_whole_, false)) {
-    holds_slot_ = false;
-    owner_->FreeSlot();
+  prefix_ = {};
+  if (std::exchange(sending_full_list_, false)) {
+    admitted_ = false;
+    server_->ReleaseAdmission();
   }
   if (phase_ == Phase::kAnswering) return Linger();
-  Next();
+  SendNext();
 }
 
-// Closing with input unread would reset the connection and might lose the answer.
+// Closes only the sending direction and discards input until the peer closes: closing the socket with unread
+// input would reset the connection, and the answer might be lost.
 void Session::Linger() {
   phase_ = Phase::kLingering;
   ErrorCode error;
   socket_.shutdown(net::Tcp::socket::shutdown_send, error);
-  owner_->ExpectEnd(shared_from_this());
-  Discard();
+  server_->StartLingerTimeout(shared_from_this());
+  DiscardInput();
 }
 
-void Session::Discard() {
-  if (std::exchange(reads_, true)) return;
+void Session::DiscardInput() {
+  if (std::exchange(awaiting_input_, true)) return;
   socket_.async_wait(net::Tcp::socket::wait_read, [self = shared_from_this()](ErrorCode error) {
-    self->reads_ = false;
-    if (self->owner_ == nullptr) return;
+    self->awaiting_input_ = false;
+    if (self->server_ == nullptr) return;
     if (error) return self->Close();
     self->OnReadable();
   });
@@ -258,63 +260,66 @@
 void Session::OnReadable() {
   std::array<char, 4096> scratch;
   ErrorCode error;
-  discarded_ += socket_.read_some(net::asio::buffer(scratch), error);
+  discarded_bytes_ += socket_.read_some(net::asio::buffer(scratch), error);
   const bool later = error == net::asio::error::would_block || error == net::asio::error::try_again;
-  if ((error && !later) || discarded_ > kMostDiscarded) return Close();
-  Discard();
+  if ((error && !later) || discarded_bytes_ > kMaxDiscardedBytes) return Close();
+  DiscardInput();
 }
 
-void Session::Tell() {
+void Session::SendUpdates() {
   if (phase_ != Phase::kWatching || writing_) return;
-  Settle(/*late=*/false);
-  Next();
+  ResolveAwaitedGeneration(/*allow_full_list=*/false);
+  SendNext();
 }
 
-// Who knows a later generation is told nothing old: it waits until the relay has heard as much. Where the
-// upstream is heard and still has less, it has begun anew, and the whole list holds.
-void Session::Settle(bool late) {
-  if (!ahead_) return;
-  const ListStore& store = owner_->feed().store();
-  if (*ahead_ <= store.generation()) {
-    position_ = store.Find(*ahead_);
-    ahead_.reset();
-  } else if (late && owner_->upstream_heard()) {
-    ahead_.reset();
+// A client with a higher generation than the relay's is sent nothing until the relay has received that
+// generation. If the relay has caught up with the upstream and its generation is still lower, the upstream's
+// generations have started over, and the client needs the full list (only if `allow_full_list`).
+void Session::ResolveAwaitedGeneration(bool allow_full_list) {
+  if (!awaited_generation_) return;
+  const ListStore& store = server_->feed().store();
+  if (*awaited_generation_ <= store.generation()) {
+    position_ = store.FindPosition(*awaited_generation_);
+    awaited_generation_.reset();
+  } else if (allow_full_list && server_->upstream_caught_up()) {
+    awaited_generation_.reset();
   }
 }
 
-// What comes next on a watch to which nothing is being written.
-void Session::Next() {
-  if (waits_ || ahead_) return;
-  if (holds_slot_) {
-    sends_whole_ = true;
-    const Feed::Told whole = owner_->feed().Whole();
-    position_ = whole.position;
-    return WriteChunk({}, whole.text);
+// Sends the next update on a watch with no write in progress, or queues for the full list if it is needed.
+void Session::SendNext() {
+  if (awaits_full_list_ || awaited_generation_) return;
+  if (admitted_) {
+    sending_full_list_ = true;
+    const Feed::Update full_list = server_->feed().FullList();
+    position_ = full_list.position;
+    return WriteChunk({}, full_list.text);
   }
-  const auto told = position_ ? owner_->feed().After(*position_) : std::nullopt;
-  if (!told) {
-    waits_ = true;
-    return owner_->admission().EnterWatch(shared_from_this());
+  const auto update = position_ ? server_->feed().UpdateAfter(*position_) : std::nullopt;
+  if (!update) {
+    awaits_full_list_ = true;
+    return server_->admission().SubmitWatch(shared_from_this());
   }
-  if (told->text == nullptr) return;
-  position_ = told->position;
-  owner_->CountObject();
-  WriteChunk({}, told->text);
+  if (update->text == nullptr) return;
+  position_ = update->position;
+  server_->CountObject();
+  WriteChunk({}, update->text);
 }
 
 void Session::Tick() {
-  if (phase_ == Phase::kOver || phase_ == Phase::kHead) return;
+  if (phase_ == Phase::kClosed || phase_ == Phase::kReadingHead) return;
   if (writing_) {
     const auto now = Clock::now();
-    const Server::Limits& limits = owner_->limits();
-    if (now - progress_ >= limits.stalled || now - began_ >= limits.longest_write) Close();
+    const Server::Limits& limits = server_->limits();
+    if (now - last_progress_at_ >= limits.stall_timeout || now - write_started_at_ >= limits.max_write_time)
+      Close();
     return;
   }
   if (phase_ != Phase::kWatching) return;
-  Settle(/*late=*/true);
-  Next();
-  // Also soon after an object: skipping it then would leave up to twice the time to the next one.
+  ResolveAwaitedGeneration(/*allow_full_list=*/true);
+  SendNext();
+  // A heartbeat is sent even soon after an object. If it were skipped, up to twice the interval could pass
+  // without data.
   if (phase_ == Phase::kWatching && !writing_) WriteChunk({}, nullptr);
 }
 
--- a/relay/session.hpp
+++ b/relay/session.hpp
@@ -1,4 +1,4 @@
-// One connection to a relay, from its call to its end: a call that is answered once, or a watch.
+// One connection to a relay. It carries one call: one that is answered once, or a watch.
 #ifndef MERLINRUN_RELAY_SESSION_HPP_
 #define MERLINRUN_RELAY_SESSION_HPP_
 
@@ -21,77 +21,80 @@
 
 class Server;
 
-class Session : public ListTaker, public std::enable_shared_from_this<Session> {
+class Session : public FullListReceiver, public std::enable_shared_from_this<Session> {
  public:
   using Clock = std::chrono::steady_clock;
   using Ptr = std::shared_ptr<Session>;
 
-  enum class Phase { kHead, kWaiting, kAnswering, kLingering, kWatching, kOver };
+  // kWaiting: a call waits for the full list. kLingering: the answer has been sent, the peer has to close.
+  enum class Phase { kReadingHead, kWaiting, kAnswering, kLingering, kWatching, kClosed };
 
-  // The place of a session in the server's wheel.
-  struct Place {
-    std::size_t slot = 0;
-    std::list<Ptr>::iterator at;
+  // Identifies the session in the server's tick slots.
+  struct TickSlot {
+    std::size_t index = 0;
+    std::list<Ptr>::iterator entry;
   };
 
-  Session(Server& owner, net::Tcp::socket socket);
+  Session(Server& server, net::Tcp::socket socket);
   ~Session() override;
 
   void Start();
-  // To be told what is new. Does nothing unless it is a watch that can be written to.
-  void Tell();
-  // Every two seconds: a blank line, or the end of a peer that takes nothing.
+  // Sends new changes. Does nothing unless this is a watch with no write in progress.
+  void SendUpdates();
+  // To be called every two seconds. Sends a heartbeat on a watch, or closes the connection if the peer reads
+  // nothing or too slowly.
   void Tick();
+  // Closes the connection and removes the session from the server.
   void Close();
-  // Closes without a word to the owner, which lets go of this one.
-  void Abandon();
+  // Closes the connection only. For the destructor of the server.
+  void CloseWithoutRemoval();
 
   Phase phase() const { return phase_; }
 
-  bool WantsList() const override { return waits_; }
+  bool AwaitsFullList() const override { return awaits_full_list_; }
   void OnAdmitted() override;
   void OnRefused() override;
 
-  Place place;  // the server's
+  TickSlot tick_slot;  // set and used by the server
 
  private:
-  struct Head;
+  struct RequestHead;
 
   void OnHead(net::ErrorCode error);
   void Answer();
   void AnswerEndpoints(std::string_view query);
-  void Settle(bool late);
-  void Next();
-  void Refuse(net::http::status status, const char* text, const char* allow = nullptr);
+  void ResolveAwaitedGeneration(bool allow_full_list);
+  void SendNext();
+  void AnswerError(net::http::status status, const char* text, const char* allow = nullptr);
   void AnswerWith(net::http::status status, const char* type, TextPtr text, const char* allow = nullptr);
-  void BeginWatch(const Feed::Told& told);
-  void WriteChunk(std::string head, TextPtr text);
-  void Push();
+  void BeginWatch(const Feed::Update& update);
+  void WriteChunk(std::string prefix, TextPtr text);
+  void ContinueWrite();
   void OnWritten();
   void Linger();
-  void Discard();
+  void DiscardInput();
   void OnReadable();
 
-  Server* owner_;  // null once it is over
+  Server* server_;  // null after the end
   net::Tcp::socket socket_;
-  std::unique_ptr<Head> head_;  // until the call is read
-  Phase phase_ = Phase::kHead;
-  bool wants_watch_ = false;
-  bool writing_ = false;      // one write at a time
-  bool waits_ = false;        // for the whole list
-  bool holds_slot_ = false;   // for it
-  bool sends_whole_ = false;  // in that slot
-  bool reads_ = false;
-  // What it has been told; empty if only the whole list can be told next.
+  std::unique_ptr<RequestHead> request_head_;  // until the header of the call has been read
+  Phase phase_ = Phase::kReadingHead;
+  bool watch_requested_ = false;
+  bool writing_ = false;            // at most one write at a time
+  bool awaits_full_list_ = false;   // waits in the queue of Admission
+  bool admitted_ = false;           // occupies one of the slots of Admission
+  bool sending_full_list_ = false;  // the write in progress is the full list
+  bool awaiting_input_ = false;
+  // The position of the last update that was sent. Empty if the full list has to be sent next.
   std::optional<Feed::Position> position_;
-  // It knows a later generation than this relay does, which waits to hear of it.
-  std::optional<std::int64_t> ahead_;
-  std::string lead_;  // what is written before the text, and the text
+  // The client's generation if it is higher than the relay's. Nothing is sent until the relay receives it.
+  std::optional<std::int64_t> awaited_generation_;
+  std::string prefix_;  // written before the text: an HTTP header or nothing
   TextPtr text_;
-  std::array<net::asio::const_buffer, 4> out_;
-  Clock::time_point progress_;  // of the write
-  Clock::time_point began_;     // the write
-  std::size_t discarded_ = 0;   // what the peer says after its call
+  std::array<net::asio::const_buffer, 4> buffers_;
+  Clock::time_point last_progress_at_;  // of the write in progress
+  Clock::time_point write_started_at_;  // start of the write in progress
+  std::size_t discarded_bytes_ = 0;     // input after the call
 };
 
 }  // namespace merlinrun::relay
--- a/relay/state_file.cpp
+++ b/relay/state_file.cpp
@@ -13,12 +13,12 @@
 namespace merlinrun::relay {
 namespace {
 
-constexpr auto kPause = std::chrono::seconds(1);
+constexpr auto kMinWriteInterval = std::chrono::seconds(1);
 
 }  // namespace
 
 StateFile::StateFile(net::asio::io_context& io, std::string path, const ListStore& store)
-    : path_(std::move(path)), store_(store), timer_(io), life_(std::make_shared<StateFile*>(this)) {}
+    : path_(std::move(path)), store_(store), timer_(io), lifetime_(std::make_shared<StateFile*>(this)) {}
 
 void StateFile::Read(ListStore& store) {
   std::error_code ignored;
@@ -27,38 +27,38 @@
   std::ostringstream text;
   std::string error = "cannot be read";
   if ((text << file.rdbuf()) && store.Restore(text.str(), error))
-    spdlog::info("state: generation {} with {} entries", store.generation(), store.entries());
+    spdlog::info("state: read generation {} with {} entries", store.generation(), store.entries());
   else
-    spdlog::warn("state: {}: {:.200}: beginning empty", path_, error);
+    spdlog::warn("state: {}: {:.200}: starting without a list", path_, error);
 }
 
 void StateFile::OnChange() {
   if (path_.empty() || std::exchange(dirty_, true)) return;
-  timer_.expires_at(std::max(next_, Clock::now()));
-  timer_.async_wait([life = std::weak_ptr<StateFile*>(life_)](net::ErrorCode stopped) {
-    const auto self = life.lock();
+  timer_.expires_at(std::max(next_write_at_, Clock::now()));
+  timer_.async_wait([lifetime = std::weak_ptr<StateFile*>(lifetime_)](net::ErrorCode stopped) {
+    const auto self = lifetime.lock();
     if (self != nullptr && !stopped) (*self)->Flush();
   });
 }
 
 void StateFile::Flush() {
   if (!std::exchange(dirty_, false)) return;
-  next_ = Clock::now() + kPause;
+  next_write_at_ = Clock::now() + kMinWriteInterval;
   Write();
 }
 
-// Renamed into its place, so that whoever reads it finds a whole one. It is not synced to the disk: after a
-// loss of power a torn one is told and left unused.
+// Writes a temporary file and renames it, so that readers always find a complete file. The file is not synced
+// to the disk: after a power failure it may be incomplete, and Read then rejects it with a warning.
 void StateFile::Write() {
-  const std::string fresh = path_ + ".new";
-  std::ofstream file(fresh, std::ios::binary | std::ios::trunc);
-  file << store_.Saved();
+  const std::string temporary_path = path_ + ".new";
+  std::ofstream file(temporary_path, std::ios::binary | std::ios::trunc);
+  file << store_.Serialize();
   file.close();
   std::error_code error;
-  if (file) std::filesystem::rename(fresh, path_, error);
+  if (file) std::filesystem::rename(temporary_path, path_, error);
   if (file && !error) return;
   spdlog::warn("state: {} cannot be written", path_);
-  std::filesystem::remove(fresh, error);
+  std::filesystem::remove(temporary_path, error);
 }
 
 }  // namespace merlinrun::relay
--- a/relay/state_file.hpp
+++ b/relay/state_file.hpp
@@ -1,4 +1,4 @@
-// The relay's memory over a restart: a file that is replaced as a whole.
+// Saves the list over a restart of the relay, in a file that is replaced atomically.
 #ifndef MERLINRUN_RELAY_STATE_FILE_HPP_
 #define MERLINRUN_RELAY_STATE_FILE_HPP_
 
@@ -16,18 +16,18 @@
  public:
   using Clock = std::chrono::steady_clock;
 
-  // No path: keeps nothing.
+  // With an empty path nothing is saved.
   StateFile(net::asio::io_context& io, std::string path, const ListStore& store);
   StateFile(const StateFile&) = delete;
   StateFile& operator=(const StateFile&) = delete;
 
-  // Reads the file into the store; a file that is torn or not a relay's leaves it empty, with a line on the
-  // log.
+  // Restores the store from the file. If the file is incomplete or invalid, logs a warning and leaves the
+  // store empty.
   void Read(ListStore& store);
 
-  // The store has changed: it is written soon, at most once a second.
+  // To be called when the store has changed. Writes it soon, at most once a second.
   void OnChange();
-  // Writes now what has not been written.
+  // Writes changes that have not been written yet, now.
   void Flush();
 
  private:
@@ -36,9 +36,9 @@
   const std::string path_;
   const ListStore& store_;
   net::asio::steady_timer timer_;
-  Clock::time_point next_;  // not written before then
+  Clock::time_point next_write_at_;  // the earliest time of the next write
   bool dirty_ = false;
-  std::shared_ptr<StateFile*> life_;  // handlers hold it weakly
+  std::shared_ptr<StateFile*> lifetime_;  // timer handlers hold a weak pointer to it
 };
 
 }  // namespace merlinrun::relay
--- a/relay/text.hpp
+++ b/relay/text.hpp
@@ -1,4 +1,4 @@
-// An object of the protocol, written once and shared by all connections that it goes to.
+// A serialized object of the discovery protocol, shared by all connections that it is sent on.
 #ifndef MERLINRUN_RELAY_TEXT_HPP_
 #define MERLINRUN_RELAY_TEXT_HPP_
 
@@ -18,11 +18,12 @@
   }
 
   std::string body;
-  std::string chunk_head;  // of the body and its line's end, as one chunk
+  std::string chunk_head;  // size line of an HTTP chunk that contains the body and a newline
 };
 
-inline constexpr const char* kChunkTail = "\n\r\n";
-inline constexpr const char* kBlankChunk = "1\r\n\n\r\n";
+inline constexpr const char* kChunkTail = "\n\r\n";  // the newline after the body, and the end of the chunk
+// A chunk with an empty line, which keeps a watch alive.
+inline constexpr const char* kHeartbeatChunk = "1\r\n\n\r\n";
 
 using TextPtr = std::shared_ptr<const Text>;
 
--- a/tests/relay/fixture.hpp
+++ b/tests/relay/fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of the relay share: a scripted discovery above it, raw watches below it, and lists.
+// Helpers for the tests of the relay: a scripted upstream discovery, raw watches and lists.
 #ifndef MERLINRUN_TESTS_RELAY_FIXTURE_HPP_
 #define MERLINRUN_TESTS_RELAY_FIXTURE_HPP_
 
@@ -28,37 +28,38 @@
   return out.str();
 }
 
-// A discovery: `whole` for whoever asks for the list, and watches that are told what `Tell` says.
+// A scripted discovery. Answers calls for the list with `full_list` and sends the objects of SendToWatches on
+// its watches.
 class Upstream {
  public:
   explicit Upstream(net::asio::io_context& io, Json list)
-      : whole(std::move(list)), server(io, [this](Peer& peer) { Answer(peer); }) {}
+      : full_list(std::move(list)), server(io, [this](Peer& peer) { Answer(peer); }) {}
 
-  void Tell(const Json& object) {
-    for (Peer* watch : Open()) watch->Write(Chunk(object.dump() + "\n"));
+  void SendToWatches(const Json& object) {
+    for (Peer* watch : OpenWatches()) watch->Write(Chunk(object.dump() + "\n"));
   }
-  std::vector<Peer*> Open() const {
+  std::vector<Peer*> OpenWatches() const {
     std::vector<Peer*> open;
     for (const auto& peer : server.peers)
       if (!peer->ended && IsWatch(*peer)) open.push_back(peer.get());
     return open;
   }
-  // Without a word on the wire, a watch that has begun is told apart by the call.
+  // A watch is recognized by its call, because it may not have received any data yet.
   static bool IsWatch(const Peer& peer) { return peer.received.find("stream=1") != std::string::npos; }
 
-  Json whole;
-  std::string first;  // what each watch is told first; empty: nothing
+  Json full_list;
+  std::string first_object;  // sent first on each watch; empty: only a heartbeat
   ScriptedServer server;
 
  private:
   void Answer(Peer& peer) {
     if (peer.requests() != 1) return;
-    if (!IsWatch(peer)) return peer.WriteLater(Reply("200 OK", whole.dump()));
-    peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunk(first + "\n"));
+    if (!IsWatch(peer)) return peer.WriteLater(Reply("200 OK", full_list.dump()));
+    peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunk(first_object + "\n"));
   }
 };
 
-// The objects that a peer has read whole; they stand on lines of their own.
+// Returns the objects that a peer has received completely. Each is on a line of its own.
 inline std::vector<Json> Objects(const Peer& peer) {
   std::vector<Json> objects;
   std::istringstream lines(peer.received);
@@ -67,20 +68,22 @@
   return objects;
 }
 
+// Returns the lifecycle of each entry by its id.
 inline std::map<std::string, std::string> States(const Json& object) {
   std::map<std::string, std::string> states;
   for (const Json& entry : object.at("instances")) {
-    EXPECT_EQ(states.count(entry.at("instanceId")), 0U) << "named twice";
+    EXPECT_EQ(states.count(entry.at("instanceId")), 0U) << "listed twice";
     states[entry.at("instanceId")] = entry.at("lifecycle");
   }
   return states;
 }
 
-inline std::string Ask(const std::string& target) { return "GET " + target + " HTTP/1.1\r\nHost: r\r\n\r\n"; }
+inline std::string Get(const std::string& target) { return "GET " + target + " HTTP/1.1\r\nHost: r\r\n\r\n"; }
 inline std::string WatchFrom(std::int64_t index) {
-  return Ask("/v1/endpoints?stream=1&index=" + std::to_string(index));
+  return Get("/v1/endpoints?stream=1&index=" + std::to_string(index));
 }
-inline std::string Status(const Peer& peer) { return peer.received.substr(0, 12); }
+// The protocol version and status code of the answer.
+inline std::string StatusLine(const Peer& peer) { return peer.received.substr(0, 12); }
 
 }  // namespace merlinrun::relay::testing
 
--- a/tests/relay/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -1,4 +1,4 @@
-// The program: its command line, its ends, and its state file.
+// Tests of the program rookhub_relay: command line, exit status and state file.
 #include <fcntl.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -38,7 +38,8 @@
     ::posix_spawn_file_actions_destroy(&files);
     ASSERT_EQ(failed, 0);
   }
-  int End() {
+  // Waits for the program to end and returns its exit status, or -1 after a signal.
+  int WaitForExit() {
     int status = -1;
     EXPECT_TRUE(RunUntil(io, [&] { return ::waitpid(pid, &status, WNOHANG) == pid; }));
     pid = 0;
@@ -56,7 +57,7 @@
   pid_t pid = 0;
 };
 
-TEST_F(RelayProgramTest, ABadCommandLineIsToldInOneLine) {
+TEST_F(RelayProgramTest, AnInvalidCommandLineIsReportedInOneLine) {
   const std::vector<std::vector<std::string>> bad = {
       {},
       {"--listen", "127.0.0.1:1"},
@@ -68,20 +69,20 @@
       {"--listen", "127.0.0.1:1", "--upstream", "127.0.0.1:1", "--colour", "red"}};
   for (const auto& arguments : bad) {
     ASSERT_NO_FATAL_FAILURE(Spawn(arguments));
-    EXPECT_EQ(End(), 2) << ::testing::PrintToString(arguments);
+    EXPECT_EQ(WaitForExit(), 2) << ::testing::PrintToString(arguments);
     EXPECT_EQ(LogLines(), 1U) << ::testing::PrintToString(arguments);
   }
 }
 
-TEST_F(RelayProgramTest, AnAddressInUseIsToldInOneLine) {
+TEST_F(RelayProgramTest, AnAddressInUseIsReportedInOneLine) {
   net::Tcp::acceptor taken(io, Loopback());
   ASSERT_NO_FATAL_FAILURE(
       Spawn({"--listen", net::testing::Text(taken.local_endpoint()), "--upstream", "127.0.0.1:1"}));
-  EXPECT_EQ(End(), 1);
+  EXPECT_EQ(WaitForExit(), 1);
   EXPECT_EQ(LogLines(), 1U);
 }
 
-TEST_F(RelayProgramTest, ServesAndLeavesItsStateWhenToldToEnd) {
+TEST_F(RelayProgramTest, ServesAndSavesItsStateOnSigterm) {
   Upstream upstream(io, List(41, true, {Instance("a")}));
   std::vector<std::string> arguments = {"--upstream", net::testing::Text(upstream.server.address), "--state",
                                         folder + "/state"};
@@ -95,20 +96,20 @@
     }
   }
   ASSERT_NO_FATAL_FAILURE(Spawn(arguments));
-  ASSERT_TRUE(RunUntil(io, [&] { return upstream.Open().size() == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return upstream.OpenWatches().size() == 1; }));
   for (const auto& address : addresses) {
     const auto watch = Connect(io, address);
     watch->Write(WatchFrom(41));
     EXPECT_TRUE(RunUntil(io, [&] { return Objects(*watch).size() == 1; }));
   }
-  upstream.Tell(List(42, false, {Instance("b")}));
-  const auto late = Connect(io, addresses[0]);
-  late->Write(WatchFrom(41));
-  ASSERT_TRUE(
-      RunUntil(io, [&] { return !Objects(*late).empty() && Objects(*late).back()["generation"] == 42; }));
+  upstream.SendToWatches(List(42, false, {Instance("b")}));
+  const auto last_watch = Connect(io, addresses[0]);
+  last_watch->Write(WatchFrom(41));
+  ASSERT_TRUE(RunUntil(
+      io, [&] { return !Objects(*last_watch).empty() && Objects(*last_watch).back()["generation"] == 42; }));
   ::kill(pid, SIGTERM);
-  EXPECT_EQ(End(), 0);
-  EXPECT_TRUE(RunUntil(io, [&] { return late->ended; }));
+  EXPECT_EQ(WaitForExit(), 0);
+  EXPECT_TRUE(RunUntil(io, [&] { return last_watch->ended; }));
   ListStore store(1);
   std::string error;
   std::ifstream file(folder + "/state");
--- a/tests/relay/server_test.cpp
+++ b/tests/relay/server_test.cpp
@@ -1,4 +1,4 @@
-// The relay's door: whole lists under load, and peers that behave badly.
+// Tests of the relay's server: full lists under load, and peers that misbehave.
 #include "fixture.hpp"
 
 namespace merlinrun::relay {
@@ -15,13 +15,13 @@
     config.listen = {Loopback(), Loopback()};
     config.upstream = upstream->server.address;
     config.limits.send_buffer = 8 * 1024;
-    config.limits.head = 60s;
+    config.limits.head_timeout = 60s;
   }
   void Start() {
     relay.emplace(io, config);
     ASSERT_TRUE(RunUntil(io, [&] { return relay->feed().store().known(); }));
   }
-  // Says `text` and does not read until it is told to.
+  // Sends `text` and receives nothing until Read is called.
   std::shared_ptr<Peer> Send(const std::string& text) {
     auto peer = std::make_shared<Peer>(net::Tcp::socket(io));
     peer->socket.open(net::Tcp::v4());
@@ -37,7 +37,8 @@
     return peer->received;
   }
   const Server::Counts& counts() const { return relay->server().counts(); }
-  bool Called(std::uint64_t calls) {
+  // Waits until the relay has received this number of calls.
+  bool AwaitCalls(std::uint64_t calls) {
     return RunUntil(io, [&] { return counts().calls == calls; });
   }
 
@@ -47,118 +48,119 @@
   std::optional<Relay> relay;
 };
 
-TEST_F(ServerTest, SoManyWholeListsAreSentAtOnceTheNextWaitAndTheRestAreRefused) {
-  config.limits.whole_lists = {1, 1, 60s};
+TEST_F(ServerTest, FullListsBeyondTheLimitWaitAndCallsBeyondTheQueueAreRefused) {
+  config.limits.admission = {1, 1, 60s};
   Start();
-  const auto first = Send(Ask("/v1/endpoints"));
-  ASSERT_TRUE(Called(1));
+  const auto first = Send(Get("/v1/endpoints"));
+  ASSERT_TRUE(AwaitCalls(1));
   const auto second = Send(WatchFrom(7));
-  ASSERT_TRUE(Called(2));
-  const auto third = Send(Ask("/v1/endpoints"));
+  ASSERT_TRUE(AwaitCalls(2));
+  const auto third = Send(Get("/v1/endpoints"));
   third->Read();
   ASSERT_TRUE(RunUntil(io, [&] { return third->ended; }));
-  EXPECT_EQ(Status(*third), "HTTP/1.1 503");
-  EXPECT_EQ(counts().whole_lists, 1U);
+  EXPECT_EQ(StatusLine(*third), "HTTP/1.1 503");
+  EXPECT_EQ(counts().full_lists, 1U);
   EXPECT_EQ(counts().refused, 1U);
   second->Read();
   RunFor(io, 20ms);
-  EXPECT_EQ(second->received, "");  // it waits for the first one
+  EXPECT_EQ(second->received, "");  // it waits until the first list has been sent
   first->Read();
   ASSERT_TRUE(RunUntil(io, [&] { return first->ended && Objects(*second).size() == 1; }));
-  EXPECT_EQ(Json::parse(first->received.substr(first->received.find("\r\n\r\n"))), upstream->whole);
-  EXPECT_EQ(Objects(*second)[0], upstream->whole);
-  EXPECT_EQ(counts().whole_lists, 2U);
-  EXPECT_EQ(Answer(Ask("/v1/endpoints")).substr(0, 12), "HTTP/1.1 200");
+  EXPECT_EQ(Json::parse(first->received.substr(first->received.find("\r\n\r\n"))), upstream->full_list);
+  EXPECT_EQ(Objects(*second)[0], upstream->full_list);
+  EXPECT_EQ(counts().full_lists, 2U);
+  EXPECT_EQ(Answer(Get("/v1/endpoints")).substr(0, 12), "HTTP/1.1 200");
 }
 
-TEST_F(ServerTest, WhoWaitsTooLongForAWholeListIsRefusedAndWhoLeavesMakesRoom) {
-  config.limits.whole_lists = {1, 1, 50ms};
+TEST_F(ServerTest, ACallThatWaitsTooLongIsRefusedAndADisconnectFreesItsSlot) {
+  config.limits.admission = {1, 1, 50ms};
   Start();
-  const auto first = Send(Ask("/v1/endpoints"));
-  ASSERT_TRUE(Called(1));
-  EXPECT_EQ(Answer(Ask("/v1/endpoints")).substr(0, 12), "HTTP/1.1 503");
+  const auto first = Send(Get("/v1/endpoints"));
+  ASSERT_TRUE(AwaitCalls(1));
+  EXPECT_EQ(Answer(Get("/v1/endpoints")).substr(0, 12), "HTTP/1.1 503");
   first->Reset();
   EXPECT_TRUE(RunUntil(io, [&] { return relay->server().connections() == 0; }));
-  EXPECT_EQ(Answer(Ask("/v1/endpoints")).substr(0, 12), "HTTP/1.1 200");
+  EXPECT_EQ(Answer(Get("/v1/endpoints")).substr(0, 12), "HTTP/1.1 200");
 }
 
-// A burst of calls for small lists is written at once, each: the queue does not deepen the stack.
-TEST_F(ServerTest, ARestartOfAllIsServedByOneText) {
-  config.limits.whole_lists = {2, 1000, 60s};
+// Small lists are written without waiting, so each one admits the next call of the queue at once. Guards
+// against a recursion as deep as the queue is long.
+TEST_F(ServerTest, ABurstOfCallsForASmallListIsServedWithoutRefusals) {
+  config.limits.admission = {2, 1000, 60s};
   config.limits.send_buffer = 256 * 1024;
-  upstream->whole = List(41, true, {Instance("a")});
+  upstream->full_list = List(41, true, {Instance("a")});
   Start();
   std::vector<std::shared_ptr<Peer>> all;
-  for (int i = 0; i < 300; ++i) all.push_back(Send(Ask("/v1/endpoints")));
+  for (int i = 0; i < 300; ++i) all.push_back(Send(Get("/v1/endpoints")));
   for (const auto& peer : all) peer->Read();
   ASSERT_TRUE(RunUntil(
       io, [&] { return std::all_of(all.begin(), all.end(), [](const auto& peer) { return peer->ended; }); }));
-  for (const auto& peer : all) EXPECT_EQ(Status(*peer), "HTTP/1.1 200");
-  EXPECT_EQ(counts().whole_lists, 300U);
+  for (const auto& peer : all) EXPECT_EQ(StatusLine(*peer), "HTTP/1.1 200");
+  EXPECT_EQ(counts().full_lists, 300U);
   EXPECT_EQ(counts().refused, 0U);
 }
 
-TEST_F(ServerTest, KnowingNothingItSaysSo) {
+TEST_F(ServerTest, WithoutAListCallsAreAnsweredWith503) {
   upstream->server.StopListening();
   relay.emplace(io, config);
-  EXPECT_EQ(Answer(Ask("/v1/endpoints")).substr(0, 12), "HTTP/1.1 503");
+  EXPECT_EQ(Answer(Get("/v1/endpoints")).substr(0, 12), "HTTP/1.1 503");
   EXPECT_EQ(Answer(WatchFrom(3)).substr(0, 12), "HTTP/1.1 503");
-  EXPECT_EQ(Answer(Ask("/status")).substr(0, 12), "HTTP/1.1 200");
+  EXPECT_EQ(Answer(Get("/status")).substr(0, 12), "HTTP/1.1 200");
   EXPECT_EQ(counts().refused, 2U);
 }
 
-TEST_F(ServerTest, BadCallsAreAnsweredAndClosed) {
+TEST_F(ServerTest, InvalidCallsAreAnsweredWithAnErrorAndClosed) {
   Start();
   const std::vector<std::pair<std::string, std::string>> calls = {
-      {Ask("/v1/else"), "404"},
-      {Ask("/"), "404"},
+      {Get("/v1/else"), "404"},
+      {Get("/"), "404"},
       {"POST /v1/endpoints HTTP/1.1\r\nContent-Length: 0\r\n\r\n", "405"},
       {"DELETE /status HTTP/1.1\r\n\r\n", "405"},
-      {Ask("/v1/endpoints?stream=1&index=x"), "400"},
-      {Ask("/v1/endpoints?stream=1&index=-4"), "400"},
-      {Ask("/v1/endpoints?stream=1&index=99999999999999999999"), "400"},
-      {Ask("/v1/endpoints?stream=yes"), "400"},
+      {Get("/v1/endpoints?stream=1&index=x"), "400"},
+      {Get("/v1/endpoints?stream=1&index=-4"), "400"},
+      {Get("/v1/endpoints?stream=1&index=99999999999999999999"), "400"},
+      {Get("/v1/endpoints?stream=yes"), "400"},
       {"nonsense\r\n\r\n", "400"},
       {"GET /status HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "400"},
       {"GET /status HTTP/1.1\r\nX: " + std::string(9000, 'x') + "\r\n\r\n", "431"},
-      {Ask("/status"), "200"}};
+      {Get("/status"), "200"}};
   for (const auto& [text, status] : calls) EXPECT_EQ(Answer(text).substr(9, 3), status) << text.substr(0, 60);
   EXPECT_TRUE(RunUntil(io, [&] { return relay->server().connections() == 0; }));
 }
 
-TEST_F(ServerTest, SilentPeersAndTalkativeWatchesAreClosed) {
-  config.limits.head = 50ms;
+TEST_F(ServerTest, SilentPeersAndWatchesThatSendDataAreClosed) {
+  config.limits.head_timeout = 50ms;
   Start();
   EXPECT_EQ(Answer(""), "");
   EXPECT_EQ(Answer("GET /v1/endp"), "");
   const auto watch = Send(WatchFrom(41));
   watch->Read();
-  ASSERT_TRUE(RunUntil(io, [&] { return counts().watches == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return counts().watches_begun == 1; }));
   watch->WriteLater(std::string(300'000, 'x'));
   EXPECT_TRUE(RunUntil(io, [&] { return watch->ended; }));
   EXPECT_TRUE(RunUntil(io, [&] { return relay->server().connections() == 0; }));
 }
 
-TEST_F(ServerTest, AWatchThatTakesNothingIsClosed) {
-  config.limits.stalled = 50ms;
+TEST_F(ServerTest, AWatchThatReadsNothingIsClosed) {
+  config.limits.stall_timeout = 50ms;
   Start();
   const auto watch = Send(WatchFrom(7));
-  ASSERT_TRUE(RunUntil(io, [&] { return counts().whole_lists == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return counts().full_lists == 1; }));
   EXPECT_TRUE(RunUntil(io, [&] { return relay->server().connections() == 0; }));
-  EXPECT_EQ(Answer(Ask("/v1/endpoints")).substr(0, 12), "HTTP/1.1 200");  // its place is free
+  EXPECT_EQ(Answer(Get("/v1/endpoints")).substr(0, 12), "HTTP/1.1 200");  // its slot is free
 }
 
-TEST_F(ServerTest, MoreConnectionsThanAllowedAreClosedAsTheyCome) {
-  config.limits.connections = 2;
+TEST_F(ServerTest, ConnectionsBeyondTheLimitAreClosedAtOnce) {
+  config.limits.max_connections = 2;
   Start();
   const auto one = Send(WatchFrom(41));
   const auto two = Send(WatchFrom(41));
-  ASSERT_TRUE(RunUntil(io, [&] { return counts().watches == 2; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return counts().watches_begun == 2; }));
   EXPECT_EQ(Answer(WatchFrom(41)), "");
-  EXPECT_EQ(counts().turned_away, 1U);
+  EXPECT_EQ(counts().rejected_connections, 1U);
   one->Reset();
   ASSERT_TRUE(RunUntil(io, [&] { return relay->server().connections() == 1; }));
-  EXPECT_EQ(Answer(Ask("/status")).substr(0, 12), "HTTP/1.1 200");
+  EXPECT_EQ(Answer(Get("/status")).substr(0, 12), "HTTP/1.1 200");
 }
 
 }  // namespace
