--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -146,13 +146,14 @@
 struct ListUpdate {
   enum class Kind {
     kDelta,   // only the entries that changed
-    kFull,    // the whole list
-    kStale,   // the whole list as this sidecar last received it; may be out of date
-    kFailed,  // a Subscribe or Fetch failed or the subscription broke; no entries
+    kFull,    // the full list
+    kStale,   // the full list as this sidecar last received it; may be out of date
+    kFailed,  // a Subscribe failed or the subscription broke; no entries
   } kind = Kind::kFull;
   std::int64_t version = 0;
   std::span<const ServerInfo> servers;
-  std::optional<Micros> ask_within = std::nullopt;  // with kFailed: missed changes take effect soon after it
+  // With kFailed: the next Subscribe has to come within this time; missed changes take effect soon after.
+  std::optional<Micros> ask_within = std::nullopt;
 };
 
 // A request of a client.
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,5 +1,5 @@
-// Runs the decision module for a simulator: reads batches of events from standard input and writes one reply
-// to each, unbuffered, to standard output.
+// Runs the balancer for a simulator: reads batches of events from standard input and writes one reply to
+// each, unbuffered, to standard output.
 //
 // Exit status: 0 at the end of input, 1 if the reply cannot be written, 2 on malformed input.
 #include <unistd.h>
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -13,7 +13,7 @@
 
 namespace merlinrun::drill {
 
-// Says what is wrong with a line. Host adds the line's number and verb.
+// Describes what is wrong with a line. Host adds the line's number and verb.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -39,8 +39,8 @@
   bool any_left_ = true;
 };
 
-// The settings of one sidecar: those of the decision module, and the names whose positions are its indices of
-// zones and machine types.
+// The settings of one sidecar: those of the balancer, and the names whose positions are its indices of zones
+// and machine types.
 struct WireSettings {
   Settings settings;
   std::vector<std::string> zones;
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -35,12 +35,12 @@
   std::optional<int> accept_fd;                      // inherited listening socket for clients, if any
   std::string shared_dir;                            // shared with the next version's process; empty = none
   std::vector<std::string> class_names;              // as spelled in the settings, by class index
-  drill::WireSettings wire;                          // the settings of the decision module
+  drill::WireSettings wire;                          // the settings of the balancer
   EndpointList last_known_list;                      // the last list of servers that this sidecar had
 };
 
 // Converts the JSON settings to the `path=value` pairs that drill::ParseSettings reads, so that the sidecar
-// and the bench adapter share one mapping of setting names.
+// and merlinrun_drill, the balancer's adapter for the simulator, share one mapping of setting names.
 std::string Flatten(const nlohmann::json& settings);
 
 // Replaces the spaces and commas of a name by underscores, as both are separators in the `path=value` pairs.
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -10,7 +10,7 @@
 namespace merlinrun::net {
 namespace {
 
-constexpr std::int64_t kMaxUnixMs = std::int64_t{1} << 49;  // the module takes times below 2^60 us
+constexpr std::int64_t kMaxUnixMs = std::int64_t{1} << 49;  // the balancer takes times below 2^60 us
 
 std::optional<ServerInfo::State> ParseLifecycle(const std::string& word) {
   if (word == "up") return ServerInfo::State::kHealthy;
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -15,7 +15,7 @@
 
 namespace merlinrun::net {
 
-// A server as discovery lists it. `info.started` is in Unix time, on which the module's clock is based too.
+// A server as discovery lists it. `info.started` is in Unix time, on which the balancer's clock is based too.
 struct Endpoint {
   ServerInfo info;
   Tcp::endpoint address;
--- a/src/net/inbound.cpp
+++ b/src/net/inbound.cpp
@@ -488,7 +488,7 @@
   }
   if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
   if (error == asio::error::connection_aborted) return Accept();
-  MakeRoom();
+  EvictLeastUseful();
   accept_pause_.expires_after(kAcceptPause);
   accept_pause_.async_wait([this](ErrorCode stopped) {
     if (!stopped) Accept();
@@ -498,7 +498,7 @@
 // Connections are accepted even at the limit, and rejected with 503. If accepting stopped, clients would wait
 // in the backlog without any answer.
 void Inbound::Add(Tcp::socket socket) {
-  if (sessions_.size() >= std::min(limits_.soft_max_sessions, limits_.max_sessions)) MakeRoom();
+  if (sessions_.size() >= std::min(limits_.soft_max_sessions, limits_.max_sessions)) EvictLeastUseful();
   const bool below_limit = sessions_.size() < limits_.max_sessions;
   if (sessions_.size() >= limits_.max_sessions + kMaxRejectedSessions) return;  // closes the socket
   ErrorCode error;
@@ -514,7 +514,7 @@
 // Closes the least useful connection, in this order: one that is lingering after its last answer, one that
 // has sent nothing yet, one that has been idle for at least min_idle, any idle one. Returns false if there is
 // none.
-bool Inbound::MakeRoom() {
+bool Inbound::EvictLeastUseful() {
   const auto now = Clock::now();
   const std::function<bool(const Session&)> choices[] = {
       [](const Session& s) { return s.Lingering(); }, [](const Session& s) { return s.Unused(); },
@@ -587,7 +587,7 @@
 
 void Inbound::SetSoftLimit(std::size_t sessions) {
   limits_.soft_max_sessions = sessions;
-  while (sessions_.size() > limits_.soft_max_sessions && MakeRoom()) continue;
+  while (sessions_.size() > limits_.soft_max_sessions && EvictLeastUseful()) continue;
 }
 
 }  // namespace merlinrun::net
--- a/src/net/inbound.hpp
+++ b/src/net/inbound.hpp
@@ -110,7 +110,7 @@
   void Accept();
   void OnAccepted(ErrorCode error, Tcp::socket socket);
   void Add(Tcp::socket socket);
-  bool MakeRoom();
+  bool EvictLeastUseful();
   void Remove(const Session& session);
   void CloseListener();
   void ScheduleSweep();
--- a/src/net/list_age.hpp
+++ b/src/net/list_age.hpp
@@ -32,7 +32,7 @@
     kReset,          // the connection broke, before the answer or in the middle of it
     kErrorStatus,    // an answer with a status other than 200
     kSilent,         // the answer began, and then nothing came for too long
-    kEnded,          // the answer ended in order
+    kEnded,          // the answer ended normally
     kInvalidData,    // the data could not be understood
   };
 
--- a/src/net/protocol.hpp
+++ b/src/net/protocol.hpp
@@ -31,8 +31,11 @@
 inline constexpr std::size_t kStreamingMemory = 3 * kChunkSize;
 // Maximum length of a message header.
 inline constexpr std::size_t kMaxHeader = std::size_t{8} * 1024;
+// Size of the buffer that body data is parsed into before it is stored, and of the reads of an answer that is
+// not streamed.
 inline constexpr std::size_t kReadSize = std::size_t{8} * 1024;
-// Maximum of unparsed input that a connection buffers: one header and one read.
+// Maximum of unparsed input that a connection buffers: one header and one read, which is at most kChunkSize
+// long.
 inline constexpr std::size_t kMaxUnparsed = kMaxHeader + kChunkSize;
 
 inline constexpr const char* kIdHeader = "Req-Id";
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -657,17 +657,17 @@
 // connections in use at once, whichever process serves them, so each process may still open that many; only
 // the limits on idle connections and on the memory for bodies are halved.
 void Sidecar::PollSharedDir() {
-  const SharedDir::Contents view = shared_dir_.Scan();
-  if (view.other_process_alive != std::exchange(other_process_alive_, view.other_process_alive)) {
+  const SharedDir::Contents contents = shared_dir_.Scan();
+  if (contents.other_process_alive != std::exchange(other_process_alive_, contents.other_process_alive)) {
     const std::size_t processes = other_process_alive_ ? 2 : 1;
     budget_.SetLimit(config_.memory_limit / kMemoryBudgetDivisor / processes);
     inbound_->SetSoftLimit(ClientSockets(config_) / processes);
     upstream_.SetSoftLimit(UpstreamLimits(config_).max_connections / processes);
   }
-  if (view.readable) {
+  if (contents.readable) {
     for (const std::string& server : std::set<std::string>(admin_down_))
-      if (view.admin_down.count(server) == 0) SetAdminDown(server, false);
-    for (const std::string& server : view.admin_down) SetAdminDown(server, true);
+      if (contents.admin_down.count(server) == 0) SetAdminDown(server, false);
+    for (const std::string& server : contents.admin_down) SetAdminDown(server, true);
   }
   // Saves the learned state for the next process. While two processes run, neither writes it: the older one
   // saved its state before the other started.
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -1,5 +1,5 @@
-// The sidecar: connects the application, the servers and discovery to the decision module (Balancer). The
-// Balancer takes every balancing decision; the Sidecar owns the requests, the timers and the clock.
+// The sidecar: connects the application, the servers and discovery to the balancer. The Balancer takes every
+// balancing decision; the Sidecar owns the requests, the timers and the clock.
 #ifndef MERLINRUN_NET_SIDECAR_HPP_
 #define MERLINRUN_NET_SIDECAR_HPP_
 
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -302,7 +302,7 @@
     if (!attempt.overload_counted) UpdateAdmission(request, *attempt.server, outcome);
     if (outcome.result == Result::kTimeout || outcome.result == Result::kReset ||
         outcome.result == Result::kCancelled)
-      request.key_held_until = now_ + settings_.settle_after_doubt;
+      request.key_blocked_until = now_ + settings_.settle_after_doubt;
     if (outcome.final_answer_sent) request.ended = true;
     if (request.ended || request.HasAttemptInFlight()) return RemoveIfDone(it);
     if (outcome.body_consumed) return Finish(it);
@@ -383,7 +383,7 @@
       return SetRequestTimer(it, std::max<Micros>(request.deadline - now_ - 2 * settings_.tick, 0));
     Server* server = request.deadline > now_ && !DispatchPaused() ? ChooseServer(request) : nullptr;
     if (server == nullptr) return RetryLaterOrFinish(it);
-    // The credit is spent only here: a server that was drawn but not chosen must not lose any.
+    // The credit is consumed only here: a server that was drawn but not chosen must not lose any.
     server->slow_start_credit.available = std::max(server->slow_start_credit.available - 1, 0.0);
     if (server->in_flight++ == 0) server->last_answer_at = now_;
     Pool& pool = pools_[server->pool];
@@ -718,8 +718,8 @@
   }
 
   // Skips a server as often as it recently refused this class. This covers limits on one class, which leave
-  // room for the others, and full servers. Where all servers refuse by chance, the search of the whole window
-  // still takes one.
+  // capacity for the others, and full servers. Where all servers refuse by chance, the search of the whole
+  // window still takes one.
   bool SkipForRefusals(const PendingRequest& request, const Server& server) {
     const double share = server.refusal_rates.empty() ? 0 : server.refusal_rates[request.request_class];
     return share > 0 && random_.Unit() < share;
@@ -741,8 +741,8 @@
   // The number alone neither shows a slow server that answers in the end nor distinguishes idle servers. A
   // server with attempts in flight that has not answered for longer than they explain looks the more loaded
   // the longer it is silent, so servers that stall, hang or vanish are avoided long before their requests are
-  // late. The load of a server that has only expensive requests is overestimated; two of those count no more
-  // than a few others.
+  // late. The load of a server that has only expensive requests is overestimated; two such requests count no
+  // more than a few others.
   double LoadScore(const PendingRequest& request, const Server& server) const {
     const double mean_answer_time = pools_[server.pool].answer_time.value;
     const double silence = mean_answer_time > 0 ? static_cast<double>(now_ - server.last_answer_at) *
@@ -754,7 +754,7 @@
 
   // How long a server takes for the same work, as a multiple of what is usual. Its own answers are weighed
   // against those of all servers of its machine type, since in a large fleet a sidecar meets each server
-  // rarely and its first answers say little.
+  // rarely and its first answers are not representative.
   double LatencyFactor(const Server& server) const {
     const double prior_weight = kMachineLatencyWeight * std::max(pools_[server.pool].answer_time.value, 1.0);
     const auto machine = machine_latencies_.find(server.info.machine);
@@ -979,7 +979,7 @@
     if (request.HasAttemptInFlight()) return CancelRemaining(it);
     auto queue = key_queues_.find(request.key);
     if (queue == key_queues_.end()) return void(pending_.erase(it));
-    if (now_ < request.key_held_until) return SetRequestTimer(it, request.key_held_until - now_);
+    if (now_ < request.key_blocked_until) return SetRequestTimer(it, request.key_blocked_until - now_);
     auto& queued_ids = queue->second;
     const bool was_next = queued_ids.front() == it->first;
     queued_ids.erase(std::find(queued_ids.begin(), queued_ids.end(), it->first));
--- a/src/records.hpp
+++ b/src/records.hpp
@@ -132,7 +132,7 @@
   int retries = 0;
   std::uint64_t timer_token = 0;  // of the timer it waits for; 0 = none
   std::string key;                // of the queue that it is in; empty = none
-  Micros key_held_until = 0;      // it blocks its key until then, as an attempt may still be running
+  Micros key_blocked_until = 0;   // it blocks its key until then, as an attempt may still be running
   std::vector<Attempt> attempts;
 
   bool HasAttemptInFlight() const {
@@ -153,8 +153,8 @@
   const auto add = [&](const std::string& name) { header += std::to_string(name.size()) + ":" + name + " "; };
   for (const RequestClass& c : settings.classes)
     add(c.name), add(std::to_string(c.latency_target)), add(std::to_string(c.deadline));
-  // This text also marks the meaning of the figures: served rates account for the share of servers in the
-  // window.
+  // "covered for" also identifies the format of the state: served rates account for the share of servers in
+  // the window.
   header += "covered for ";
   for (const Tenant& tenant : settings.tenants) add(tenant.name);
   return header;
--- a/src/stale_list_guard.hpp
+++ b/src/stale_list_guard.hpp
@@ -10,7 +10,7 @@
 
 namespace merlinrun {
 
-// Knows from when on missed changes take effect, and whether dispatch is paused because of them.
+// Tracks from when on missed changes take effect, and whether dispatch is paused because of them.
 class StaleListGuard {
  public:
   explicit StaleListGuard(const Settings& settings)
--- a/src/tunables.hpp
+++ b/src/tunables.hpp
@@ -37,8 +37,8 @@
 // The target for the latency ratio of the work with the highest value per unit. It is far below 1, as the
 // queues of overloaded servers fill before answers miss their latency target.
 inline constexpr double kLatencyRatioTarget = 0.27;
-// The same where servers report their load. Of all settings, only this one separates the deployments that
-// lose value by refusing too early from those whose servers become overloaded.
+// The same where servers report their load. Whether they do is the only setting that separates the
+// deployments that lose value by refusing too early from those whose servers become overloaded.
 inline constexpr double kLatencyRatioTargetWithReports = 0.45;
 // With load reports, the target is also at most this much above the latency ratio of unloaded servers:
 // servers with many cores answer fast when unloaded, and a queue shows at a low ratio there.
@@ -47,7 +47,7 @@
 // ratio.
 inline constexpr double kAdmissionStep = 0.2;
 // A server whose last report shows a CPU utilisation below this is not overloaded, however late it answers.
-// Values from 0.4 to 0.8 give the same results within noise on days when nearly all servers are busy.
+// Values from 0.4 to 0.8 give the same results within noise when nearly all servers are busy.
 inline constexpr double kBusyCpuShare = 0.8;
 // With more attempts in flight than this, each outcome counts less, so that the admission changes as much
 // within the time of one answer as it does in sidecars with fewer. Otherwise hundreds of outcomes a second
@@ -59,15 +59,16 @@
 // fault of one server; several are an overload of all servers, which breaks them within seconds.
 inline constexpr double kMaxLateFactor = 4;
 // The target is at least this multiple of the lowest mean latency ratio seen, the mean being taken over
-// kLatencyRatioMemory answers. Without it, cheap work is refused all day where even unloaded servers use a
-// good part of the latency target.
+// kLatencyRatioMemory answers. Without it, cheap work is constantly refused where even unloaded servers use
+// a good part of the latency target.
 inline constexpr double kUnloadedRatioFactor = 1.6;
 // The same factor, and the target, for a sidecar with many attempts in flight; they apply gradually between
 // kBusyStartInFlight and kBusyFullInFlight attempts. Such a sidecar learns of an overload within a fraction
 // of a second, where others wait seconds for the next answer, so it need not refuse work in advance: with the
-// values for other sidecars, one with 300 requests a second and a usual latency ratio of 0.25 refused a tenth
-// of the cheap work all day. With a start at 4 or 20 attempts more servers of large fleets become overloaded;
-// a factor of 2.4 with a target of 0.45 overloaded the remaining servers when half of them drained at once.
+// values for other sidecars, one with 300 requests a second and a usual latency ratio of 0.25 constantly
+// refused a tenth of the cheap work. With a start at 4 or 20 attempts more servers of large fleets become
+// overloaded; a factor of 2.4 with a target of 0.45 overloaded the remaining servers when half of them
+// drained at once.
 inline constexpr double kUnloadedRatioFactorBusy = 2.0;
 inline constexpr double kLatencyRatioTargetBusy = 0.34;
 inline constexpr double kBusyStartInFlight = 32;
@@ -114,7 +115,8 @@
 // The minimum relative work of a request, as a multiple of what is usual for its class.
 inline constexpr double kMinRelativeWork = 0.05;
 // The answers of a server are, on average, as far apart as one answer time divided by its attempts in flight.
-// By chance, a gap of kSilenceFactor times that occurs once in fifty.
+// By chance, a gap of kSilenceFactor times that occurs once in fifty. A longer one raises the load score of
+// the server, so that it is chosen less often.
 inline constexpr double kSilenceFactor = 4;
 // A server that fails to connect, resets, times out or misses a latency target is ejected for random(0,
 // min(kRetryCap, base * 2^n)), n being the number of such events in a row: the same backoff as for requests.
--- a/tests/net/discovery_outage_test.cpp
+++ b/tests/net/discovery_outage_test.cpp
@@ -177,7 +177,7 @@
     }
     return ready;
   }
-  static bool RequestsCompleteList(const Peer& peer) {
+  static bool RequestsFullList(const Peer& peer) {
     return peer.received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0) == 0;
   }
   // Discovery answers the call that has waited longest; each fifth call fails.
@@ -185,22 +185,22 @@
     Peer& peer = *waiting.front();
     waiting.pop_front();
     if (peer.ended) return void(++abandoned_calls);
-    const bool complete = RequestsCompleteList(peer);
-    complete_list_calls += complete;
+    const bool full_list = RequestsFullList(peer);
+    full_list_calls += full_list;
     if (++answered_calls % 5 == 0) {
-      complete_list_failures += complete;
+      full_list_failures += full_list;
       return peer.Write(Reply("503 Service Unavailable", ""));
     }
-    if (complete) return peer.Write(Reply("200 OK", List(7, true, {Entry("s-1", server.address)}).dump()));
+    if (full_list) return peer.Write(Reply("200 OK", List(7, true, {Entry("s-1", server.address)}).dump()));
     peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   }
 
   asio::io_context io;
   std::deque<Peer*> waiting;  // calls that discovery has not answered yet
   std::size_t answered_calls = 0;
-  std::size_t complete_list_calls = 0;     // answered calls for the full list ...
-  std::size_t complete_list_failures = 0;  // ... and how many of them failed
-  std::size_t abandoned_calls = 0;         // calls that their sidecars closed before discovery came to them
+  std::size_t full_list_calls = 0;     // answered calls for the full list ...
+  std::size_t full_list_failures = 0;  // ... and how many of them failed
+  std::size_t abandoned_calls = 0;     // calls that their sidecars closed before discovery answered them
   ScriptedServer discovery;
   ScriptedServer server;
   std::vector<std::unique_ptr<Sidecar>> fleet;
@@ -219,7 +219,7 @@
 TEST_P(RestartedFleet, WithoutKnownServersIsReadyAfterOneListForEachSidecar) {
   Start({}, GetParam());
   EXPECT_EQ(CountReady(), 0U);
-  const auto lists_received = [&] { return complete_list_calls - complete_list_failures; };
+  const auto lists_received = [&] { return full_list_calls - full_list_failures; };
   while (lists_received() < kFleet && answered_calls < 4 * kFleet) {
     ASSERT_TRUE(RunUntil(io, [&] { return !waiting.empty(); }))
         << lists_received() << " of " << answered_calls;
--- a/tests/net/sidecar_fixture.hpp
+++ b/tests/net/sidecar_fixture.hpp
@@ -107,7 +107,7 @@
       for (std::size_t client = 0; client < in_flight; ++client) {
         if (!has_answer(client) || StatusAt(*open_clients[client], answered[client] + 1) == "200") continue;
         ++answered[client];
-        open_clients[client]->Write(Get("anew" + std::to_string(++resent)));
+        open_clients[client]->Write(Get("resent" + std::to_string(++resent)));
       }
       return waiting.size() == in_flight;
     };
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -146,14 +146,14 @@
 TEST_F(SidecarTest, ATruncatedAnswerIsNeverForwarded) {
   int seen = 0;
   ScriptedServer server(io, [&](Peer& peer) {
-    if (seen++ > 0) return peer.Write(Reply("200 OK", "whole"));
+    if (seen++ > 0) return peer.Write(Reply("200 OK", "complete"));
     peer.Write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort");
     peer.Close();
   });
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1"));
   EXPECT_EQ(Status(*client), "200");  // safe to repeat, so it is retried
-  ASSERT_TRUE(RunUntil(io, [&] { return client->received.find("whole") != std::string::npos; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return client->received.find("complete") != std::string::npos; }));
   EXPECT_EQ(client->received.find("short"), std::string::npos);
 }
 
@@ -182,13 +182,13 @@
 // healthy server for a while, up to five of nine at once, and the others were overloaded.
 TEST_F(SidecarTest, AServerThatServesOtherRequestsIsNotEjectedForOneInvalidAnswer) {
   const auto answer_others = [](Peer& peer) {
-    if (peer.received.find("Req-Id: held", peer.received.rfind("Req-Id: ")) == std::string::npos)
+    if (peer.received.find("Req-Id: pending", peer.received.rfind("Req-Id: ")) == std::string::npos)
       peer.Write(Reply("200 OK", "ok"));
   };
   ScriptedServer one(io, answer_others);
   ScriptedServer two(io, answer_others);
   Start({Entry("s1", one.address), Entry("s2", two.address)});
-  auto unanswered = Client(Post("port", "held"));
+  auto unanswered = Client(Post("port", "pending"));
   ASSERT_TRUE(RunUntil(io, [&] { return one.requests() + two.requests() == 1; }));
   ScriptedServer& chosen = one.requests() == 1 ? one : two;
   for (int i = 0; chosen.requests() < 5; ++i) ASSERT_EQ(Ask(Get("g" + std::to_string(i))), "200");
