--- a/scale/call_plan.cpp
+++ b/scale/call_plan.cpp
@@ -9,7 +9,7 @@
 
 CallPlan CallPlan::Read(Parameters& parameters) {
   CallPlan plan;
-  plan.server.service = std::chrono::microseconds(parameters.Integer("service_us", 1000, 0, 1'000'000));
+  plan.server.service_time = std::chrono::microseconds(parameters.Integer("service_us", 1000, 0, 1'000'000));
   plan.server.exponential = parameters.Flag("exponential", false);
   plan.server_processes = static_cast<int>(parameters.Integer("server_processes", 4, 1, 16));
   plan.paired = PairedPlan::Read(parameters);
@@ -17,17 +17,17 @@
 }
 
 std::size_t CallPlan::Open(double calls_per_s, std::size_t depth) const {
-  const double service_s = std::max<double>(static_cast<double>(server.service.count()), 1000) / 1e6;
+  const double service_s = std::max<double>(static_cast<double>(server.service_time.count()), 1000) / 1e6;
   return 1 + static_cast<std::size_t>(calls_per_s * 5 * service_s * static_cast<double>(depth));
 }
 
-ServerSettings CallPlan::Seeded(std::uint64_t seed) const {
+ServerSettings CallPlan::ServerWithSeed(std::uint64_t seed) const {
   ServerSettings settings = server;
   settings.seed = seed;
   return settings;
 }
 
-void RecordPaired(Context& context, Sample sample, const PairedResult& result, RemoteServers& servers) {
+void RecordPairedSample(Context& context, Sample sample, const PairedResult& result, RemoteServers& servers) {
   if (context.should_stop()) return;
   sample.figures.merge(result.Figures());
   sample.figures.merge(servers.LatenessFigures());
--- a/scale/call_plan.hpp
+++ b/scale/call_plan.hpp
@@ -1,4 +1,5 @@
-// What the steps of calls through real sidecars have in common: the servers behind them, and the reading.
+// Shared by the steps that send calls through real sidecars: the settings of the servers, and the loop over
+// all measurements.
 #ifndef MERLINRUN_SCALE_CALL_PLAN_HPP_
 #define MERLINRUN_SCALE_CALL_PLAN_HPP_
 
@@ -15,22 +16,24 @@
 namespace merlinrun::scale {
 
 struct CallPlan {
-  ServerSettings server;     // of each
-  int server_processes = 4;  // that the servers share
+  ServerSettings server;     // the same for each server
+  int server_processes = 4;  // child processes that the servers are spread over
   PairedPlan paired;
 
-  // Reads "service_us", "exponential", "server_processes" and what PairedPlan does.
+  // Reads "service_us", "exponential", "server_processes" and the keys of PairedPlan.
   static CallPlan Read(Parameters& parameters);
-  // Of a caller's calls, how many are open at a time when they take five times as long as all services on
-  // their way.
+  // Returns an upper estimate of the number of calls of one caller that are open at the same time, for calls
+  // that pass through `depth` services. A call is assumed to take five times its total service time.
   std::size_t Open(double calls_per_s, std::size_t depth = 1) const;
-  ServerSettings Seeded(std::uint64_t seed) const;
+  // Returns `server` with this seed.
+  ServerSettings ServerWithSeed(std::uint64_t seed) const;
 };
 
-// One paired reading of that measure, and how late the servers were: recorded unless it is stopped.
-void RecordPaired(Context& context, Sample sample, const PairedResult& result, RemoteServers& servers);
+// Adds the figures of a paired measurement and the lateness of the servers to the sample, and records it
+// unless the run is to stop.
+void RecordPairedSample(Context& context, Sample sample, const PairedResult& result, RemoteServers& servers);
 
-// For each repeat and each size, with a seed of its own, until the run is to stop.
+// Calls `measure` for each size in each repeat, every time with a new seed, until the run is to stop.
 void ForEachReading(Context& context, const std::vector<std::int64_t>& sizes,
                     const std::function<void(std::int64_t size, int repeat, std::uint64_t seed)>& measure);
 
--- a/scale/call_rate.cpp
+++ b/scale/call_rate.cpp
@@ -25,15 +25,15 @@
     const auto servers = static_cast<std::size_t>(servers_);
     const auto sidecars = static_cast<std::size_t>(sidecars_);
     const auto processes = static_cast<std::size_t>(plan_.server_processes);
-    Needs needs;
-    // The callers here and the servers there have one end of each call, on both ways, and a sidecar both; it
-    // keeps some for each server.
-    needs.descriptors = 128 + sidecars * (8 * servers + 6 * plan_.Open(rate));
-    needs.ports = servers + 1 + sidecars + processes;
-    needs.processes = sidecars + processes;
-    // A sidecar's limit, this process and its parts.
-    needs.memory_mb = 64 + 192 * static_cast<double>(sidecars) + 16 * static_cast<double>(processes);
-    return needs;
+    Needs requirements;
+    // An open call, direct or through a sidecar, takes one descriptor in this process and one in a server
+    // process. A call through a sidecar takes two more there. A sidecar also keeps some for each server.
+    requirements.descriptors = 128 + sidecars * (8 * servers + 6 * plan_.Open(rate));
+    requirements.ports = servers + 1 + sidecars + processes;
+    requirements.processes = sidecars + processes;
+    // This process, the memory limit of each sidecar, and the server processes.
+    requirements.memory_mb = 64 + 192 * static_cast<double>(sidecars) + 16 * static_cast<double>(processes);
+    return requirements;
   }
 
   void Run(Context& context) override {
@@ -46,7 +46,7 @@
   void Measure(Context& context, double rate, int repeat, std::uint64_t seed) const {
     net::asio::io_context io(1);
     RemoteServers servers(plan_.server_processes, context.scratch);
-    const Service service(io, servers.Open(Alike(plan_.Seeded(seed), servers_)));
+    const Service service(io, servers.Open(Alike(plan_.ServerWithSeed(seed), servers_)));
     RealSidecars sidecars(io, context, seed);
     Ways ways;
     for (const net::Tcp::endpoint& address : sidecars.Add(sidecars_, service.discovery())) {
@@ -58,16 +58,17 @@
     caller.seed = seed;
     const PairedResult result = RunPaired(
         io, ways, caller, plan_.paired, [&] { return sidecars.cpu_us(); }, context.should_stop);
-    const auto each = static_cast<double>(sidecars_);
+    const auto sidecar_count = static_cast<double>(sidecars_);
     Sample sample{"call_rate", {{"calls_per_s", rate}}, {}, repeat};
-    sample.figures["idle_cpu_us_per_s"] = result.idle_cpu_us_per_s / each;
-    sample.figures["memory_mb"] = static_cast<double>(sidecars.rss_bytes()) / each / (1 << 20);
-    RecordPaired(context, std::move(sample), result, servers);
+    sample.figures["idle_cpu_us_per_s"] = result.idle_cpu_us_per_s / sidecar_count;
+    sample.figures["memory_mb"] = static_cast<double>(sidecars.rss_bytes()) / sidecar_count / (1 << 20);
+    RecordPairedSample(context, std::move(sample), result, servers);
   }
 
-  const std::vector<std::int64_t> rates_;  // of each caller
+  const std::vector<std::int64_t> rates_;  // calls per second of each caller
   const int servers_;
-  const std::int64_t sidecars_;  // side by side, each with a caller: many calls in little time
+  // Sidecars run in parallel, each with its own caller, so that enough calls are made in a short time.
+  const std::int64_t sidecars_;
   const CallPlan plan_;
 };
 
--- a/scale/call_rate.hpp
+++ b/scale/call_rate.hpp
@@ -1,4 +1,5 @@
-// Step "call_rate": what a sidecar uses for a call and adds to its time, by the rate of calls.
+// Step "call_rate": the CPU time that a sidecar uses per call and the latency that it adds, for several rates
+// of calls.
 #ifndef MERLINRUN_SCALE_CALL_RATE_HPP_
 #define MERLINRUN_SCALE_CALL_RATE_HPP_
 
--- a/scale/caller.cpp
+++ b/scale/caller.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 template <typename T>
-const T& DrawFrom(const std::vector<T>& list, std::mt19937_64& random) {
+const T& PickRandom(const std::vector<T>& list, std::mt19937_64& random) {
   return list[std::uniform_int_distribution<std::size_t>(0, list.size() - 1)(random)];
 }
 
@@ -27,15 +27,15 @@
 Caller::Caller(net::asio::io_context& io, std::vector<net::Tcp::endpoint> targets, CallerSettings settings)
     : settings_(std::move(settings)), random_(settings_.seed), timer_(io), pool_(io, std::move(targets)) {
   if (!(settings_.calls_per_s > 0) || settings_.classes.empty())
-    throw std::invalid_argument("a caller needs a rate and a class");
+    throw std::invalid_argument("a caller needs a positive rate and at least one class");
 }
 
-void Caller::Start(std::chrono::nanoseconds length) {
+void Caller::Start(std::chrono::nanoseconds duration) {
   const Clock::time_point now = Clock::now();
   scheduling_ = true;
-  end_ = now + length;
-  next_ = now + DrawGap();
-  Wait();
+  end_ = now + duration;
+  next_due_ = now + DrawInterval();
+  ScheduleNext();
 }
 
 void Caller::Stop() {
@@ -45,40 +45,43 @@
 
 CallResults Caller::Take() { return std::exchange(results_, {}); }
 
-Clock::duration Caller::DrawGap() {
+Clock::duration Caller::DrawInterval() {
   const double seconds = settings_.poisson
                              ? std::exponential_distribution<double>(settings_.calls_per_s)(random_)
                              : 1 / settings_.calls_per_s;
   return std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(seconds));
 }
 
-void Caller::Wait() {
-  if (next_ >= end_) {
+void Caller::ScheduleNext() {
+  if (next_due_ >= end_) {
     scheduling_ = false;
     return;
   }
-  timer_.expires_at(next_);
-  timer_.async_wait([this](net::ErrorCode stopped) {
-    if (!stopped && scheduling_) SendDue();  // it may have been due as it was stopped
+  timer_.expires_at(next_due_);
+  timer_.async_wait([this](net::ErrorCode error) {
+    // After Stop(), a timer that has already expired still calls this handler without an error.
+    if (!error && scheduling_) SendDueCalls();
   });
 }
 
-void Caller::SendDue() {
-  for (const Clock::time_point now = Clock::now(); next_ <= now && next_ < end_; next_ += DrawGap())
-    Send(next_);
-  Wait();
+void Caller::SendDueCalls() {
+  for (const Clock::time_point now = Clock::now(); next_due_ <= now && next_due_ < end_;
+       next_due_ += DrawInterval())
+    Send(next_due_);
+  ScheduleNext();
 }
 
 void Caller::Send(Clock::time_point due) {
   const Clock::time_point now = Clock::now();
-  const std::string owner = settings_.owners.empty() ? "" : DrawFrom(settings_.owners, random_);
-  // The client's clock has run since the call was due.
-  const Clock::time_point give_up = due + settings_.deadline;
+  const std::string tenant = settings_.tenants.empty() ? "" : PickRandom(settings_.tenants, random_);
+  // The deadline counts from the time at which the call was due, even if it is sent later.
+  const Clock::time_point give_up_at = due + settings_.deadline;
   ++results_.counts.sent;
   results_.lateness.Add(now - due);
-  if (give_up <= now) return Finish(due, 0);
-  pool_.Send(NewRequest(DrawFrom(settings_.classes, random_), owner, give_up - now, settings_.body, random_),
-             give_up, [this, due](unsigned status) { Finish(due, status); });
+  if (give_up_at <= now) return Finish(due, 0);
+  pool_.Send(NewRequest(PickRandom(settings_.classes, random_), tenant, give_up_at - now, settings_.body_size,
+                        random_),
+             give_up_at, [this, due](unsigned status) { Finish(due, status); });
 }
 
 void Caller::Finish(Clock::time_point due, unsigned status) {
--- a/scale/chain.cpp
+++ b/scale/chain.cpp
@@ -16,20 +16,20 @@
 
 using Addresses = std::vector<net::Tcp::endpoint>;
 
-// Services behind one another. Each server has a sidecar of its own for its calls to the next one, as the
-// application has for its calls to the first.
-class Services {
+// Two chains of services, one without sidecars and one with them. In the second, each server calls the next
+// service through its own sidecar, and the caller calls the first service through one as well.
+class ServiceChains {
  public:
-  Services(net::asio::io_context& io, Context& context, RemoteServers& servers, ServerSettings server,
-           int width, std::int64_t depth)
+  ServiceChains(net::asio::io_context& io, Context& context, RemoteServers& servers, ServerSettings server,
+                int width, std::int64_t depth)
       : io_(io),
         servers_(servers),
         server_(std::move(server)),
         width_(width),
         sidecars_(io, context, server_.seed) {
     for (std::int64_t hop = depth; hop > 0 && !context.should_stop(); --hop) {
-      AddDirect(hop);
-      AddBehindSidecars(hop);
+      AddDirectHop(hop);
+      AddSidecarHop(hop);
     }
   }
 
@@ -38,18 +38,18 @@
   const RealSidecars& sidecars() const { return sidecars_; }
 
  private:
-  // The hop's servers are in the same processes on both ways.
+  // Places the servers of a hop in the same processes for both chains.
   Addresses Open(const std::vector<ServerSettings>& servers, std::int64_t hop) {
     return servers_.Open(servers, static_cast<std::size_t>(hop * width_));
   }
-  // A service in front of what there is, called without sidecars.
-  void AddDirect(std::int64_t hop) {
+  // Adds a service at the front of the chain without sidecars.
+  void AddDirectHop(std::int64_t hop) {
     std::vector<ServerSettings> servers = Alike(server_, width_);
     for (ServerSettings& settings : servers) settings.onward = direct_entry_;
     direct_entry_ = Open(servers, hop);
   }
-  // The same, and a sidecar for each of those who call it.
-  void AddBehindSidecars(std::int64_t hop) {
+  // Adds a service at the front of the chain with sidecars, and a sidecar for each of its callers.
+  void AddSidecarHop(std::int64_t hop) {
     std::vector<ServerSettings> servers = Alike(server_, width_);
     for (std::size_t i = 0; i < sidecar_entry_.size(); ++i) servers[i].onward = {sidecar_entry_[i]};
     services_.push_back(std::make_unique<Service>(io_, Open(servers, hop)));
@@ -79,14 +79,16 @@
     const auto width = static_cast<std::size_t>(width_);
     const auto processes = static_cast<std::size_t>(plan_.server_processes);
     const std::size_t sidecars = 1 + width * (depth - 1);
-    Needs needs;
-    needs.processes = sidecars + processes;
-    needs.ports = depth * (2 * width + 1) + needs.processes;
-    // One process of servers, if all of them were in it, has of each open call both ends at every hop, on
-    // both ways; this one has discovery's end of each watch.
-    needs.descriptors = 128 + needs.ports + sidecars + 8 * depth * (width * width + plan_.Open(rate_, depth));
-    needs.memory_mb = 64 + 16 * static_cast<double>(needs.processes);  // sidecars that know few servers
-    return needs;
+    Needs requirements;
+    requirements.processes = sidecars + processes;
+    requirements.ports = depth * (2 * width + 1) + requirements.processes;
+    // Enough for one process that contains all servers: it has both ends of each open call at every hop, in
+    // both chains. This process has discovery's end of each watch.
+    requirements.descriptors =
+        128 + requirements.ports + sidecars + 8 * depth * (width * width + plan_.Open(rate_, depth));
+    // The lists are short, so a sidecar needs little memory.
+    requirements.memory_mb = 64 + 16 * static_cast<double>(requirements.processes);
+    return requirements;
   }
 
   void Run(Context& context) override {
@@ -99,29 +101,29 @@
   void Measure(Context& context, std::int64_t depth, int repeat, std::uint64_t seed) const {
     net::asio::io_context io(1);
     RemoteServers servers(plan_.server_processes, context.scratch);
-    const Services services(io, context, servers, plan_.Seeded(seed), width_, depth);
+    const ServiceChains chains(io, context, servers, plan_.ServerWithSeed(seed), width_, depth);
     if (context.should_stop()) return;
     CallerSettings caller;
     caller.calls_per_s = rate_;
     caller.deadline = std::chrono::seconds(3);
     caller.seed = seed;
     const PairedResult result = RunPaired(
-        io, {{services.direct()}, {services.through()}}, caller, plan_.paired,
-        [&] { return services.sidecars().cpu_us(); }, context.should_stop);
-    const auto hops = static_cast<double>(depth);
-    Sample sample{"chain", {{"depth", hops}}, result.Figures(), repeat};
-    // "cpu_us_per_call" is that of all sidecars on the way.
+        io, {{chains.direct()}, {chains.through()}}, caller, plan_.paired,
+        [&] { return chains.sidecars().cpu_us(); }, context.should_stop);
+    const auto hop_count = static_cast<double>(depth);
+    Sample sample{"chain", {{"depth", hop_count}}, result.Figures(), repeat};
+    // "cpu_us_per_call" is the sum over all sidecars of the chain.
     for (const char* figure : {"cpu_us_per_call", "added_mean_ms", "added_p50_ms", "added_p99_ms"}) {
-      const auto whole = sample.figures.find(figure);
-      if (whole != sample.figures.end())
-        sample.figures[std::string(figure) + "_per_hop"] = whole->second / hops;
+      const auto total = sample.figures.find(figure);
+      if (total != sample.figures.end())
+        sample.figures[std::string(figure) + "_per_hop"] = total->second / hop_count;
     }
-    RecordPaired(context, std::move(sample), result, servers);
+    RecordPairedSample(context, std::move(sample), result, servers);
   }
 
   const std::vector<std::int64_t> depths_;
   const int width_;
-  const double rate_;
+  const double rate_;  // calls per second
   const CallPlan plan_;
 };
 
--- a/scale/chain.hpp
+++ b/scale/chain.hpp
@@ -1,4 +1,5 @@
-// Step "chain": what sidecars add to the time of a call that passes through several services, by how many.
+// Step "chain": the latency that sidecars add to a call that passes through a chain of services, for several
+// lengths of the chain.
 #ifndef MERLINRUN_SCALE_CHAIN_HPP_
 #define MERLINRUN_SCALE_CHAIN_HPP_
 
--- a/scale/client_pool.cpp
+++ b/scale/client_pool.cpp
@@ -21,26 +21,27 @@
 struct ClientPool::State {
   asio::io_context& io;
   std::vector<Tcp::endpoint> targets;
-  std::vector<std::vector<std::shared_ptr<Connection>>> idle;  // by target, the last used at the back
-  std::unordered_set<Connection*> all;
-  std::size_t next = 0;
+  std::vector<std::vector<std::shared_ptr<Connection>>>
+      idle;  // by target, the most recently used at the back
+  std::unordered_set<Connection*> connections;
+  std::size_t next_target = 0;
 };
 
 class ClientPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(const std::shared_ptr<State>& state, std::size_t target)
       : state_(state), stream_(state->io), target_(target) {
-    state->all.insert(this);
+    state->connections.insert(this);
   }
   ~Connection() {
-    if (const auto state = state_.lock()) state->all.erase(this);
+    if (const auto state = state_.lock()) state->connections.erase(this);
   }
 
-  void Send(HttpRequest request, Clock::time_point give_up, Handler handler) {
+  void Send(HttpRequest request, Clock::time_point give_up_at, Handler handler) {
     request_ = std::move(request);
-    give_up_ = give_up;
+    give_up_at_ = give_up_at;
     handler_ = std::move(handler);
-    stream_.expires_at(give_up_);
+    stream_.expires_at(give_up_at_);
     if (connected_) {
       reused_ = true;
       Write();
@@ -83,16 +84,17 @@
 
   void Fail(ErrorCode error) {
     const auto state = state_.lock();
-    const bool crossed = reused_ && buffer_.size() == 0 && error != beast::error::timeout;
-    if (!crossed || !state || !handler_) return Finish(0, false);
+    // On a reused connection this means that the request probably crossed the server's close of it.
+    const bool closed_before_answer = reused_ && buffer_.size() == 0 && error != beast::error::timeout;
+    if (!closed_before_answer || !state || !handler_) return Finish(0, false);
     stream_.close();
-    const auto again = std::make_shared<Connection>(state, target_);
-    again->Send(std::move(request_), give_up_, std::exchange(handler_, nullptr));
+    const auto replacement = std::make_shared<Connection>(state, target_);
+    replacement->Send(std::move(request_), give_up_at_, std::exchange(handler_, nullptr));
   }
 
-  void Finish(unsigned status, bool keep) {
+  void Finish(unsigned status, bool keep_alive) {
     const auto state = state_.lock();
-    if (keep && state && handler_) {
+    if (keep_alive && state && handler_) {
       stream_.expires_never();
       state->idle[target_].push_back(shared_from_this());
     } else {
@@ -106,7 +108,7 @@
   beast::flat_buffer buffer_;
   HttpRequest request_;
   net::HttpResponse response_;
-  Clock::time_point give_up_;
+  Clock::time_point give_up_at_;
   Handler handler_;
   std::size_t target_;
   bool connected_ = false;
@@ -115,17 +117,17 @@
 
 ClientPool::ClientPool(asio::io_context& io, std::vector<Tcp::endpoint> targets)
     : state_(std::make_shared<State>(State{io, std::move(targets), {}, {}, 0})) {
-  if (state_->targets.empty()) throw std::invalid_argument("a client pool needs a target");
+  if (state_->targets.empty()) throw std::invalid_argument("a client pool needs at least one target address");
   state_->idle.resize(state_->targets.size());
 }
 
 ClientPool::~ClientPool() {
-  for (Connection* const connection : state_->all) connection->Close();
+  for (Connection* const connection : state_->connections) connection->Close();
 }
 
-void ClientPool::Send(HttpRequest request, Clock::time_point give_up, Handler handler) {
-  const std::size_t target = state_->next;
-  state_->next = (state_->next + 1) % state_->targets.size();
+void ClientPool::Send(HttpRequest request, Clock::time_point give_up_at, Handler handler) {
+  const std::size_t target = state_->next_target;
+  state_->next_target = (state_->next_target + 1) % state_->targets.size();
   auto& idle = state_->idle[target];
   std::shared_ptr<Connection> connection;
   if (idle.empty()) {
@@ -134,9 +136,9 @@
     connection = std::move(idle.back());
     idle.pop_back();
   }
-  connection->Send(std::move(request), give_up, std::move(handler));
+  connection->Send(std::move(request), give_up_at, std::move(handler));
 }
 
-std::size_t ClientPool::connections() const { return state_->all.size(); }
+std::size_t ClientPool::connections() const { return state_->connections.size(); }
 
 }  // namespace merlinrun::scale
--- a/scale/client_pool.hpp
+++ b/scale/client_pool.hpp
@@ -1,5 +1,5 @@
-// An HTTP/1.1 client as PROTOCOL describes the applications: one request at a time on a connection,
-// connections that are kept, and more of them when all are busy.
+// HTTP/1.1 client that behaves as the applications of the protocol do: it sends one request at a time on a
+// connection, keeps connections open, and opens another one when all are busy.
 #ifndef MERLINRUN_SCALE_CLIENT_POOL_HPP_
 #define MERLINRUN_SCALE_CLIENT_POOL_HPP_
 
@@ -21,18 +21,20 @@
 
 class ClientPool {
  public:
-  // The answer's status, read to its last byte; 0 if none came in time or the connection broke.
+  // Called with the status once the answer has been read completely, or with 0 if no complete answer arrived
+  // in time or the connection broke.
   using Handler = std::function<void(unsigned status)>;
 
-  // Requests go to the targets in turn. The loop outlives the pool.
+  // Requests go to the targets in turn. `io` must outlive the pool.
   ClientPool(net::asio::io_context& io, std::vector<net::Tcp::endpoint> targets);
-  // Closes all connections; handlers of what is open are not called.
+  // Closes all connections. The handlers of open requests are not called.
   ~ClientPool();
   ClientPool(const ClientPool&) = delete;
   ClientPool& operator=(const ClientPool&) = delete;
 
-  // A request that crosses the close of a kept connection goes once more, on a new one.
-  void Send(HttpRequest request, Clock::time_point give_up, Handler handler);
+  // Sends a request. If a reused connection breaks before any byte of the answer has arrived, the request is
+  // sent once more, on a new connection.
+  void Send(HttpRequest request, Clock::time_point give_up_at, Handler handler);
   std::size_t connections() const;
 
  private:
--- a/scale/real_sidecar.cpp
+++ b/scale/real_sidecar.cpp
@@ -15,8 +15,9 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr auto kLongestStart = std::chrono::seconds(30);  // clients of a scored day wait no longer
-constexpr auto kBetweenAsks = std::chrono::milliseconds(10);
+// The clients of a scored run wait no longer than this for a sidecar to become ready.
+constexpr auto kMaxStartTime = std::chrono::seconds(30);
+constexpr auto kReadyPollInterval = std::chrono::milliseconds(10);
 
 std::string Hex(std::uint64_t seed) {
   std::ostringstream text;
@@ -24,7 +25,7 @@
   return text.str();
 }
 
-// With the limits of a scored day.
+// Returns the content of the configuration file, with the resource limits of a scored run.
 nlohmann::json Configuration(const SidecarOptions& options, const net::Tcp::endpoint& listen) {
   return {{"name", options.name},
           {"listen", AddressText(listen)},
@@ -40,12 +41,12 @@
 
 }  // namespace
 
-// Not listening, and both sides let the address be used again: the sidecar can listen there all the same, and
-// what asks for any free port does not get this one.
-RealSidecar::Reserved::Reserved(net::asio::io_context& io) : holder(io, net::Tcp::v4()) {
-  holder.set_option(net::Tcp::acceptor::reuse_address(true));
-  holder.bind({net::asio::ip::make_address("127.0.0.1"), 0});
-  address = holder.local_endpoint();
+// Binds to a free port with SO_REUSEADDR and does not listen on it. The kernel then does not assign the port
+// to another socket that binds to port 0, but the sidecar, which sets SO_REUSEADDR too, can listen on it.
+RealSidecar::ReservedPort::ReservedPort(net::asio::io_context& io) : acceptor(io, net::Tcp::v4()) {
+  acceptor.set_option(net::Tcp::acceptor::reuse_address(true));
+  acceptor.bind({net::asio::ip::make_address("127.0.0.1"), 0});
+  address = acceptor.local_endpoint();
 }
 
 RealSidecar::RealSidecar(const SidecarOptions& options) : options_(options), listen_(unused_) {
@@ -53,7 +54,7 @@
   WriteConfiguration();
   Child::Options child;
   child.program = options_.program;
-  // What the environment says goes before the file.
+  // Environment variables override the configuration file.
   child.environment = {"EDGE_CONFIG=" + ConfigurationFile(options_).string(),
                        "EDGE_LISTEN=" + AddressText(address()),
                        "EDGE_DISCOVERY=" + AddressText(options_.discovery),
@@ -64,7 +65,7 @@
   child_ = std::make_unique<Child>(child);
 }
 
-// The file is there whole or not at all.
+// Writes a temporary file and renames it, so that the sidecar never reads an incomplete file.
 void RealSidecar::WriteConfiguration() const {
   const std::filesystem::path file = ConfigurationFile(options_);
   const std::filesystem::path next = file.string() + ".next";
@@ -80,25 +81,25 @@
 
 void RealSidecar::AwaitReady(net::asio::io_context& io) {
   ClientPool pool(io, {address()});
-  const auto end = Clock::now() + kLongestStart;
+  const auto end = Clock::now() + kMaxStartTime;
   while (Clock::now() < end) {
     unsigned status = 0;
     bool answered = false;
     HttpRequest request(net::http::verb::get, net::kReadyPath, 11);
     request.set(net::http::field::host, "origin.svc");
-    pool.Send(std::move(request), end, [&](unsigned answer) {
-      status = answer;
+    pool.Send(std::move(request), end, [&](unsigned result) {
+      status = result;
       answered = true;
     });
     RunUntil(
-        io, [&] { return answered; }, kLongestStart + kBetweenAsks);
+        io, [&] { return answered; }, kMaxStartTime + kReadyPollInterval);
     if (status == 200) return;
     if (const auto ended = child_->Wait(std::chrono::milliseconds(0)))
       throw std::runtime_error("sidecar " + options_.name + " ended with wait status " +
                                std::to_string(*ended));
-    RunFor(io, kBetweenAsks);
+    RunFor(io, kReadyPollInterval);
   }
-  throw std::runtime_error("sidecar " + options_.name + " was not ready in time");
+  throw std::runtime_error("sidecar " + options_.name + " did not become ready in time");
 }
 
 }  // namespace merlinrun::scale
--- a/scale/real_sidecar.hpp
+++ b/scale/real_sidecar.hpp
@@ -1,4 +1,4 @@
-// The shipped program as a child process, with a configuration as the platform would give it.
+// The shipped sidecar program as a child process, with a configuration file as the platform writes it.
 #ifndef MERLINRUN_SCALE_REAL_SIDECAR_HPP_
 #define MERLINRUN_SCALE_REAL_SIDECAR_HPP_
 
@@ -18,44 +18,45 @@
 
 struct SidecarOptions {
   std::filesystem::path program;
-  std::filesystem::path scratch;  // its configuration and its log go here
-  std::string name;               // other than those of its neighbours
+  std::filesystem::path scratch;  // folder of its configuration file and its log
+  std::string name;               // must be unique within the folder
   net::Tcp::endpoint discovery;
   std::uint64_t seed = 1;
-  bool management = false;  // with a door for operators
+  bool management = false;  // whether it opens a management endpoint for operators
 };
 
 class RealSidecar {
  public:
-  // Starts it at free loopback ports, without a list. Throws std::runtime_error.
+  // Starts the sidecar on free loopback ports. It has no list of servers yet. Throws std::runtime_error.
   explicit RealSidecar(const SidecarOptions& options);
 
-  // Runs the loop, which discovery may be on, until it says that it is ready. Throws std::runtime_error if it
-  // ends instead, or takes too long.
+  // Runs `io`, which discovery may use too, until the sidecar reports that it is ready. Throws
+  // std::runtime_error if the sidecar ends instead, or is not ready within 30 s.
   void AwaitReady(net::asio::io_context& io);
 
-  // Has it read a new configuration, which names another address for discovery.
+  // Writes a configuration with another address for discovery and makes the sidecar reload it.
   void Reload(const net::Tcp::endpoint& discovery);
 
   const net::Tcp::endpoint& address() const { return listen_.address; }
-  const net::Tcp::endpoint& management() const { return management_.value().address; }  // if it has a door
+  // The address of the management endpoint. Requires SidecarOptions::management.
+  const net::Tcp::endpoint& management() const { return management_.value().address; }
   std::int64_t cpu_us() const { return child_->cpu_us(); }
   std::int64_t rss_bytes() const { return child_->rss_bytes(); }
 
  private:
-  // A free port that nothing else is given until it is let go. The sidecar can listen there meanwhile.
-  struct Reserved {
-    explicit Reserved(net::asio::io_context& io);
-    net::Tcp::acceptor holder;
+  // Reserves a free port as long as it lives. The sidecar can listen on the port meanwhile.
+  struct ReservedPort {
+    explicit ReservedPort(net::asio::io_context& io);
+    net::Tcp::acceptor acceptor;  // bound, not listening
     net::Tcp::endpoint address;
   };
 
   void WriteConfiguration() const;
 
   SidecarOptions options_;
-  net::asio::io_context unused_;  // never run
-  Reserved listen_;
-  std::optional<Reserved> management_;
+  net::asio::io_context unused_;  // for the acceptors; never run
+  ReservedPort listen_;
+  std::optional<ReservedPort> management_;
   std::unique_ptr<Child> child_;
 };
 
--- a/scale/real_sidecars.cpp
+++ b/scale/real_sidecars.cpp
@@ -8,7 +8,7 @@
 std::vector<net::Tcp::endpoint> RealSidecars::Add(std::int64_t count, const net::Tcp::endpoint& discovery) {
   const std::size_t first = all_.size();
   for (std::int64_t i = 0; i < count; ++i) {
-    if (context_.should_stop()) break;  // some hundred starts take a while
+    if (context_.should_stop()) break;  // hundreds of starts take a while
     SidecarOptions options;
     options.program = context_.sidecar;
     options.scratch = context_.scratch;
--- a/scale/remote_servers.cpp
+++ b/scale/remote_servers.cpp
@@ -16,7 +16,7 @@
   json onward = json::array();
   for (const net::Tcp::endpoint& address : settings.onward) onward.push_back(AddressText(address));
   return {{"do", "open"},
-          {"service_us", settings.service.count()},
+          {"service_us", settings.service_time.count()},
           {"exponential", settings.exponential},
           {"seed", settings.seed},
           {"onward", onward}};
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-RemoteServers::RemoteServers(int processes, const std::filesystem::path& scratch) {
-  for (int i = 0; i < processes; ++i)
-    parts_.push_back(
+RemoteServers::RemoteServers(int process_count, const std::filesystem::path& scratch) {
+  for (int i = 0; i < process_count; ++i)
+    processes_.push_back(
         std::make_unique<Part>(kServerProcess, scratch / ("servers" + std::to_string(i) + ".log")));
 }
 
@@ -34,9 +34,9 @@
                                                     std::size_t first) {
   std::vector<net::Tcp::endpoint> addresses;
   for (std::size_t i = 0; i < servers.size(); ++i) {
-    const json answer = parts_[(first + i) % parts_.size()]->Ask(OpenCommand(servers[i]));
+    const json answer = processes_[(first + i) % processes_.size()]->Ask(OpenCommand(servers[i]));
     const auto address = net::ParseAddress(answer.at("address").get<std::string>());
-    if (!address) throw std::runtime_error("a server has no address");
+    if (!address) throw std::runtime_error("a server process returned no valid address");
     addresses.push_back(*address);
   }
   return addresses;
@@ -44,8 +44,8 @@
 
 ServerCounts RemoteServers::counts() {
   ServerCounts sum;
-  for (const auto& part : parts_) {
-    const json answer = part->Ask({{"do", "counts"}});
+  for (const auto& process : processes_) {
+    const json answer = process->Ask({{"do", "counts"}});
     ServerCounts counts;
     counts.taken = answer.at("taken").get<std::uint64_t>();
     counts.served = answer.at("served").get<std::uint64_t>();
@@ -59,8 +59,8 @@
 
 std::map<std::string, double> RemoteServers::LatenessFigures() {
   std::map<std::string, double> figures;
-  for (const auto& part : parts_) {
-    const json answer = part->Ask({{"do", "counts"}});
+  for (const auto& process : processes_) {
+    const json answer = process->Ask({{"do", "counts"}});
     for (const char* name : {"late_p50_ms", "late_p99_ms"}) {
       if (!answer.contains(name)) continue;
       double& figure = figures[std::string("server_") + name];
--- a/scale/remote_servers.hpp
+++ b/scale/remote_servers.hpp
@@ -1,5 +1,5 @@
-// Server stand-ins in a few processes beside this one, so that the callers here and the servers there do not
-// wait for one another's work.
+// Fake servers in child processes, so that the callers in this process and the servers do not delay each
+// other.
 #ifndef MERLINRUN_SCALE_REMOTE_SERVERS_HPP_
 #define MERLINRUN_SCALE_REMOTE_SERVERS_HPP_
 
@@ -17,19 +17,20 @@
 
 class RemoteServers {
  public:
-  // Throws std::runtime_error if a process does not come up. Their logs go to the folder.
-  RemoteServers(int processes, const std::filesystem::path& scratch);
+  // Starts the processes, with their logs in `scratch`. Throws std::runtime_error if one does not start.
+  RemoteServers(int process_count, const std::filesystem::path& scratch);
 
-  // Starts one server for each of the settings, of which it takes service, exponential, seed and onward. The
-  // processes take turns from that one on, counted round.
+  // Starts one server for each of the settings and returns their addresses. Only service_time, exponential,
+  // seed and onward are used. The servers are assigned to the processes in turn, beginning with the process
+  // of index `first` modulo the number of processes.
   std::vector<net::Tcp::endpoint> Open(const std::vector<ServerSettings>& servers, std::size_t first = 0);
-  ServerCounts counts();  // of all
-  // "server_late_p50_ms" and "_p99_ms": how late the loop of the slowest process handled the end of a
-  // service.
+  ServerCounts counts();  // sum over all servers
+  // Returns "server_late_p50_ms" and "server_late_p99_ms": the delay with which the event loop handled the
+  // end of a service time, as the maximum over all processes. Empty until a service time has ended.
   std::map<std::string, double> LatenessFigures();
 
  private:
-  std::vector<std::unique_ptr<Part>> parts_;
+  std::vector<std::unique_ptr<Part>> processes_;
 };
 
 }  // namespace merlinrun::scale
--- a/scale/requests.hpp
+++ b/scale/requests.hpp
@@ -1,4 +1,4 @@
-// Requests as PROTOCOL words them, of an application to its sidecar.
+// Creates requests that an application sends to its sidecar, with the headers of the protocol.
 #ifndef MERLINRUN_SCALE_REQUESTS_HPP_
 #define MERLINRUN_SCALE_REQUESTS_HPP_
 
@@ -11,18 +11,20 @@
 
 namespace merlinrun::scale {
 
-// A class of request: its name in the settings, and whether it may be repeated (GET) or carries a key (POST).
+// A class of requests.
 struct CallClass {
-  std::string name;
-  bool safe = true;
+  std::string name;  // as in the settings of the sidecar
+  bool safe = true;  // true = GET, which may be repeated; false = POST with an idempotency key
 };
 
-// With a fresh Req-Id, and a fresh Idempotency-Key if the class is keyed.
-HttpRequest NewRequest(const CallClass& call_class, const std::string& owner,
-                       std::chrono::duration<double> time_left, std::size_t body, std::mt19937_64& random);
+// Returns a request with a new Req-Id. Unless the class is safe, it also has a new Idempotency-Key and a body
+// of `body_size` bytes. An empty tenant leaves the tenant header out.
+HttpRequest NewRequest(const CallClass& call_class, const std::string& tenant,
+                       std::chrono::duration<double> time_left, std::size_t body_size,
+                       std::mt19937_64& random);
 
-// What a service asks of the next one while it serves `request`: the same class, tenant and body, a fresh id
-// and key, and the time that is left.
+// Returns the request that a service sends to the next service while it serves `request`: the same method,
+// class, tenant and body, a new id, a new key if `request` has one, and the time left until the deadline.
 HttpRequest OnwardRequest(const HttpRequest& request, Clock::time_point deadline, std::mt19937_64& random);
 
 }  // namespace merlinrun::scale
--- a/scale/server_process.cpp
+++ b/scale/server_process.cpp
@@ -20,26 +20,26 @@
 class ServerProcess {
  public:
   explicit ServerProcess(std::uint16_t port)
-      : io_(1), commands_(io_, port, [this](const json& command) { return Do(command); }) {}
+      : io_(1), commands_(io_, port, [this](const json& command) { return Execute(command); }) {}
   void Run() { io_.run(); }
 
  private:
-  json Do(const json& command) {
-    const std::string what = command.at("do").get<std::string>();
-    if (what == "open") return Open(command);
-    if (what == "counts") return Counts();
-    throw std::runtime_error("unknown command " + what);
+  json Execute(const json& command) {
+    const std::string name = command.at("do").get<std::string>();
+    if (name == "open") return Open(command);
+    if (name == "counts") return Counts();
+    throw std::runtime_error("unknown command " + name);
   }
 
   json Open(const json& command) {
     ServerSettings settings;
-    settings.service = std::chrono::microseconds(command.at("service_us").get<std::int64_t>());
+    settings.service_time = std::chrono::microseconds(command.at("service_us").get<std::int64_t>());
     settings.exponential = command.value("exponential", false);
     settings.seed = command.value("seed", std::uint64_t{1});
     settings.lateness = lateness_;
     for (const json& text : command.value("onward", json::array())) {
       const auto address = net::ParseAddress(text.get<std::string>());
-      if (!address) throw std::runtime_error("no address");
+      if (!address) throw std::runtime_error("no valid address in \"onward\"");
       settings.onward.push_back(*address);
     }
     servers_.push_back(std::make_unique<ServerStandIn>(io_, std::move(settings)));
@@ -48,10 +48,10 @@
 
   json Counts() const {
     ServerCounts sum;
-    std::size_t held = 0;
+    std::size_t open_requests = 0;
     for (const auto& server : servers_) {
       sum += server->counts();
-      held += server->held();
+      open_requests += server->open_requests();
     }
     json counts = OwnUsage(false);
     counts.update({{"taken", sum.taken},
@@ -59,7 +59,7 @@
                    {"declined", sum.declined},
                    {"failed", sum.failed},
                    {"invalid", sum.invalid},
-                   {"held", held}});
+                   {"held", open_requests}});
     if (lateness_->count() > 0) {
       counts["late_p50_ms"] = lateness_->QuantileMs(0.5);
       counts["late_p99_ms"] = lateness_->QuantileMs(0.99);
--- a/scale/server_process.hpp
+++ b/scale/server_process.hpp
@@ -1,4 +1,4 @@
-// Server stand-ins in a process of their own.
+// The child process that runs fake servers; see RemoteServers.
 #ifndef MERLINRUN_SCALE_SERVER_PROCESS_HPP_
 #define MERLINRUN_SCALE_SERVER_PROCESS_HPP_
 
@@ -6,11 +6,13 @@
 
 namespace merlinrun::scale {
 
-// Does what the run tells it over the line at that loopback port, until the line ends. Commands by "do":
-// - "open": service_us, exponential, seed, onward (addresses); starts a server; answers "address"
-// - "counts": answers, summed over all servers, "taken", "served", "declined", "failed", "invalid", "held",
-//   usage, and once something was served how late the loop handled the end of a service: "late_p50_ms" and
-//   "late_p99_ms"
+// Connects to this loopback port and executes the commands that the parent process sends, until the
+// connection is closed. Commands, by the value of "do":
+// - "open": starts a server with "service_us", "exponential", "seed" and "onward" (addresses); answers with
+//   its "address"
+// - "counts": answers with the sums over all servers of "taken", "served", "declined", "failed", "invalid"
+//   and "held" (open requests), and with the resource usage of the process. Once a service time has ended,
+//   also with quantiles of the delay with which the event loop handled that: "late_p50_ms" and "late_p99_ms"
 int RunServerProcess(std::uint16_t port);
 
 }  // namespace merlinrun::scale
--- a/scale/server_stand_in.cpp
+++ b/scale/server_stand_in.cpp
@@ -29,21 +29,22 @@
 using net::Tcp;
 
 struct ServerStandIn::State : std::enable_shared_from_this<State> {
-  State(asio::io_context& loop, ServerSettings wanted);
+  State(asio::io_context& event_loop, ServerSettings server_settings);
 
   void Accept();
   void Close();
-  // How much of the full speed it has by now.
-  double Share() const;
-  // Requests that it holds at most, in service and queued: a cold one takes fewer.
-  std::size_t Room() const;
-  bool Full() const { return running + queue.size() >= Room(); }
-  void Begin(const std::shared_ptr<Session>& session);
-  void RunNext();
-  std::chrono::nanoseconds DrawService();
-  // Takes the time up to now into the share of cores in use; before any change of `running`.
-  void TakeUse();
-  std::string Load();
+  // Returns the current share of the full speed, below 1 while the server is cold.
+  double SpeedShare() const;
+  // Returns the maximum number of requests in service and queued. A cold server has less capacity.
+  std::size_t Capacity() const;
+  bool Full() const { return running + queue.size() >= Capacity(); }
+  void Enqueue(const std::shared_ptr<Session>& session);
+  void StartQueued();
+  std::chrono::nanoseconds DrawServiceTime();
+  // Updates `utilisation` up to now. Must be called before each change of `running`.
+  void UpdateUtilisation();
+  // Returns the value of the load header.
+  std::string LoadReportText();
 
   asio::io_context& io;
   ServerSettings settings;
@@ -55,14 +56,14 @@
   std::unordered_set<Session*> sessions;
   std::deque<std::shared_ptr<Session>> queue;
   std::size_t running = 0;
-  double use = 0;  // share of cores, the last second above all
-  Clock::time_point use_taken = started;
-  std::size_t held = 0;
+  double utilisation = 0;  // share of the cores in use, exponentially averaged with a time constant of 1 s
+  Clock::time_point utilisation_updated = started;
+  std::size_t open_requests = 0;
   bool draining = false;
   ServerCounts counts;
 };
 
-// A connection and the request on it.
+// A connection and its current request.
 class ServerStandIn::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(std::shared_ptr<State> state, Tcp::socket socket)
@@ -76,7 +77,7 @@
   void Read() {
     request_ = {};
     http::async_read(socket_, buffer_, request_, [self = shared_from_this()](ErrorCode error, std::size_t) {
-      if (!error) self->Take();
+      if (!error) self->HandleRequest();
     });
   }
   void Close() {
@@ -84,18 +85,18 @@
     socket_.close(ignored);
     timer_.cancel();
   }
-  bool Over() const { return Clock::now() >= deadline_; }
-  void Work(std::chrono::nanoseconds time) {
-    if (time.count() == 0) return Worked();
+  bool DeadlinePassed() const { return Clock::now() >= deadline_; }
+  void StartService(std::chrono::nanoseconds time) {
+    if (time.count() == 0) return OnServiceDone();
     timer_.expires_after(time);
-    timer_.async_wait([self = shared_from_this()](ErrorCode stopped) {
-      if (stopped) return;
+    timer_.async_wait([self = shared_from_this()](ErrorCode error) {
+      if (error) return;
       if (LatencyHistogram* const lateness = self->state_->settings.lateness.get())
         lateness->Add(Clock::now() - self->timer_.expiry());
-      self->Worked();
+      self->OnServiceDone();
     });
   }
-  // Before its work has begun.
+  // Rejects the request; its service must not have begun.
   void Decline(http::status status) {
     ++state_->counts.declined;
     net::HttpResponse response = net::PlainTextResponse(status, "turned away\n");
@@ -104,7 +105,7 @@
   }
 
  private:
-  void Take() {
+  void HandleRequest() {
     ++state_->counts.taken;
     if (request_.count(net::kIdHeader) == 0) {
       ++state_->counts.invalid;
@@ -116,34 +117,35 @@
                           std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(*seconds))
                     : Clock::time_point::max();
     if (state_->draining || state_->Full()) return Decline(http::status::service_unavailable);
-    state_->Begin(shared_from_this());
+    state_->Enqueue(shared_from_this());
   }
-  void Worked() {
+  void OnServiceDone() {
     const auto self = shared_from_this();
-    state_->TakeUse();
+    state_->UpdateUtilisation();
     --state_->running;
-    state_->RunNext();
+    state_->StartQueued();
     if (state_->onward) {
-      CallOnward();
+      CallNextService();
     } else {
       Answer(true);
     }
   }
-  void CallOnward() {
-    if (Over()) return Answer(false);
-    HttpRequest call = OnwardRequest(request_, deadline_, state_->random);
-    const auto give_up = std::min(deadline_, Clock::now() + std::chrono::hours(1));
-    state_->onward->Send(std::move(call), give_up,
+  void CallNextService() {
+    if (DeadlinePassed()) return Answer(false);
+    HttpRequest request = OnwardRequest(request_, deadline_, state_->random);
+    const auto give_up_at = std::min(deadline_, Clock::now() + std::chrono::hours(1));
+    state_->onward->Send(std::move(request), give_up_at,
                          [self = shared_from_this()](unsigned status) { self->Answer(status == 200); });
   }
-  void Answer(bool good) {
-    --state_->held;
-    ++(good ? state_->counts.served : state_->counts.failed);
-    Write(good ? net::PlainTextResponse(http::status::ok, std::string(state_->settings.body, 'x'))
-               : net::PlainTextResponse(http::status::internal_server_error, "the next service failed\n"));
+  void Answer(bool succeeded) {
+    --state_->open_requests;
+    ++(succeeded ? state_->counts.served : state_->counts.failed);
+    Write(succeeded
+              ? net::PlainTextResponse(http::status::ok, std::string(state_->settings.body_size, 'x'))
+              : net::PlainTextResponse(http::status::internal_server_error, "the next service failed\n"));
   }
   void Write(net::HttpResponse response) {
-    response.set(net::kLoadHeader, state_->Load());
+    response.set(net::kLoadHeader, state_->LoadReportText());
     response.keep_alive(request_.keep_alive());
     response.prepare_payload();
     response_ = std::move(response);
@@ -162,9 +164,9 @@
   Clock::time_point deadline_;
 };
 
-ServerStandIn::State::State(asio::io_context& loop, ServerSettings wanted)
-    : io(loop),
-      settings(std::move(wanted)),
+ServerStandIn::State::State(asio::io_context& event_loop, ServerSettings server_settings)
+    : io(event_loop),
+      settings(std::move(server_settings)),
       acceptor(io, {asio::ip::make_address("127.0.0.1"), 0}),
       address(acceptor.local_endpoint()),
       random(settings.seed) {
@@ -187,59 +189,59 @@
   std::deque<std::shared_ptr<Session>>().swap(queue);
 }
 
-double ServerStandIn::State::Share() const {
+double ServerStandIn::State::SpeedShare() const {
   const Clock::duration age = Clock::now() - started;
-  if (age >= settings.warm_after) return 1;
-  return settings.cold_share +
-         (1 - settings.cold_share) *
-             (std::chrono::duration<double>(age) / std::chrono::duration<double>(settings.warm_after));
+  if (age >= settings.warm_up_time) return 1;
+  return settings.cold_speed +
+         (1 - settings.cold_speed) *
+             (std::chrono::duration<double>(age) / std::chrono::duration<double>(settings.warm_up_time));
 }
 
-std::size_t ServerStandIn::State::Room() const {
+std::size_t ServerStandIn::State::Capacity() const {
   const double full = settings.cores + static_cast<double>(settings.queue);
-  return std::max<std::size_t>(1, static_cast<std::size_t>(full * Share()));
+  return std::max<std::size_t>(1, static_cast<std::size_t>(full * SpeedShare()));
 }
 
-void ServerStandIn::State::Begin(const std::shared_ptr<Session>& session) {
-  ++held;
+void ServerStandIn::State::Enqueue(const std::shared_ptr<Session>& session) {
+  ++open_requests;
   queue.push_back(session);
-  RunNext();
+  StartQueued();
 }
 
-void ServerStandIn::State::RunNext() {
+void ServerStandIn::State::StartQueued() {
   while (running < static_cast<std::size_t>(settings.cores) && !queue.empty()) {
     const std::shared_ptr<Session> session = std::move(queue.front());
     queue.pop_front();
-    if (session->Over()) {  // its client has left: no work is done for nobody
-      --held;
+    if (session->DeadlinePassed()) {  // the client no longer waits for an answer
+      --open_requests;
       session->Decline(http::status::gateway_timeout);
       continue;
     }
-    TakeUse();
+    UpdateUtilisation();
     ++running;
-    session->Work(DrawService());
+    session->StartService(DrawServiceTime());
   }
 }
 
-std::chrono::nanoseconds ServerStandIn::State::DrawService() {
-  double ns = std::chrono::duration<double, std::nano>(settings.service).count();
+std::chrono::nanoseconds ServerStandIn::State::DrawServiceTime() {
+  double ns = std::chrono::duration<double, std::nano>(settings.service_time).count();
   if (settings.exponential && ns > 0) ns = std::exponential_distribution<double>(1 / ns)(random);
-  return std::chrono::nanoseconds(std::llround(ns / Share()));
+  return std::chrono::nanoseconds(std::llround(ns / SpeedShare()));
 }
 
-void ServerStandIn::State::TakeUse() {
+void ServerStandIn::State::UpdateUtilisation() {
   const Clock::time_point now = Clock::now();
-  const double kept = std::exp(-std::chrono::duration<double>(now - use_taken).count());
-  use = use * kept + static_cast<double>(running) / settings.cores * (1 - kept);
-  use_taken = now;
+  const double weight = std::exp(-std::chrono::duration<double>(now - utilisation_updated).count());
+  utilisation = utilisation * weight + static_cast<double>(running) / settings.cores * (1 - weight);
+  utilisation_updated = now;
 }
 
-// In the form that PROTOCOL gives, with the names of the settings.
-std::string ServerStandIn::State::Load() {
-  TakeUse();
+// In the format that the protocol defines for the load header, with the field names from the settings.
+std::string ServerStandIn::State::LoadReportText() {
+  UpdateUtilisation();
   std::array<char, 96> text{};
-  std::snprintf(text.data(), text.size(), "TEXT busy_reqs=%zu, pending=%zu, cpu_share=%.3f", held,
-                queue.size(), use);
+  std::snprintf(text.data(), text.size(), "TEXT busy_reqs=%zu, pending=%zu, cpu_share=%.3f", open_requests,
+                queue.size(), utilisation);
   return text.data();
 }
 
@@ -260,14 +262,15 @@
 ServerStandIn::~ServerStandIn() {
   try {
     state_->Close();
-  } catch (const std::exception& error) {  // a timer that cannot be cancelled: its handler finds all closed
-    std::fprintf(stderr, "server stand-in: %s\n", error.what());
+  } catch (const std::exception& error) {
+    // A timer could not be cancelled. Its handler will find everything closed.
+    std::fprintf(stderr, "fake server: %s\n", error.what());
   }
 }
 
 const Tcp::endpoint& ServerStandIn::address() const { return state_->address; }
 void ServerStandIn::Drain() { state_->draining = true; }
 const ServerCounts& ServerStandIn::counts() const { return state_->counts; }
-std::size_t ServerStandIn::held() const { return state_->held; }
+std::size_t ServerStandIn::open_requests() const { return state_->open_requests; }
 
 }  // namespace merlinrun::scale
--- a/scale/server_stand_in.hpp
+++ b/scale/server_stand_in.hpp
@@ -1,5 +1,6 @@
-// A server as PROTOCOL describes it: cores and a queue, a service time, a cold start, reports of its load,
-// and "turned away" when it is full or drains. It may call onward, as a service within a chain does.
+// Fake HTTP server that behaves as the protocol describes servers: it has a number of cores, a queue, a
+// service time and a cold start, reports its load, and declines requests when it is full or draining. It can
+// call the next service of a chain for each request.
 #ifndef MERLINRUN_SCALE_SERVER_STAND_IN_HPP_
 #define MERLINRUN_SCALE_SERVER_STAND_IN_HPP_
 
@@ -17,26 +18,27 @@
 namespace merlinrun::scale {
 
 struct ServerSettings {
-  int cores = 4;            // requests served at a time
+  int cores = 4;            // requests served at the same time
   std::size_t queue = 256;  // requests that may wait for a core
-  std::chrono::microseconds service{1000};
-  bool exponential = false;  // service times are drawn with that mean; else all are the same
-  // What it is worth of its full speed at its start; grows evenly to 1 until it is warm.
-  double cold_share = 1;
-  std::chrono::microseconds warm_after{0};
-  std::size_t body = 64;  // bytes of an answer
+  std::chrono::microseconds service_time{1000};
+  bool exponential = false;  // true = service times are exponentially distributed with that mean
+  // Share of the full speed at the start. It grows linearly to 1 within `warm_up_time`.
+  double cold_speed = 1;
+  std::chrono::microseconds warm_up_time{0};
+  std::size_t body_size = 64;  // bytes of an answer
   std::uint64_t seed = 1;
-  // Where a request goes once its own work is done, in turn; none = it is answered then.
+  // Addresses of the next service. After its service time, each request is forwarded to one of them in turn.
+  // If empty, it is answered then.
   std::vector<net::Tcp::endpoint> onward = {};
-  // Takes how late each end of a service was handled: the loop's own part of the time. May be null.
+  // Receives the delay with which the event loop handled the end of each service time. May be null.
   std::shared_ptr<LatencyHistogram> lateness = nullptr;
 };
 
 struct ServerCounts {
-  std::uint64_t taken = 0;     // whole requests read
+  std::uint64_t taken = 0;     // requests read completely
   std::uint64_t served = 0;    // 200
-  std::uint64_t declined = 0;  // turned away, never begun
-  std::uint64_t failed = 0;    // begun, and the call onward had no good answer
+  std::uint64_t declined = 0;  // rejected before service began
+  std::uint64_t failed = 0;    // service began, but the call to the next service did not return 200
   std::uint64_t invalid = 0;   // 404: no Req-Id
 
   ServerCounts& operator+=(const ServerCounts& other);
@@ -44,17 +46,19 @@
 
 class ServerStandIn {
  public:
-  // Listens on a loopback address and a free port. The loop outlives the server.
+  // Listens on a free port of the loopback address. `io` must outlive the server.
   ServerStandIn(net::asio::io_context& io, ServerSettings settings);
-  // Closes everything at once, as the end of a process would.
+  // Closes all connections immediately, as if its process had ended.
   ~ServerStandIn();
   ServerStandIn(const ServerStandIn&) = delete;
   ServerStandIn& operator=(const ServerStandIn&) = delete;
 
   const net::Tcp::endpoint& address() const;
-  void Drain();  // takes nothing new from here on, and finishes what it has
+  // Declines new requests from now on and completes the open ones.
+  void Drain();
   const ServerCounts& counts() const;
-  std::size_t held() const;  // requests in service, in the queue or waiting for the call onward
+  // Returns the number of requests that are queued, in service or waiting for the next service.
+  std::size_t open_requests() const;
 
  private:
   struct State;
--- a/scale/service.hpp
+++ b/scale/service.hpp
@@ -1,4 +1,5 @@
-// A service: server stand-ins, here or elsewhere, and the discovery that lists them.
+// A service for tests and steps: fake servers, in this process or in others, and a fake discovery service
+// that lists them.
 #ifndef MERLINRUN_SCALE_SERVICE_HPP_
 #define MERLINRUN_SCALE_SERVICE_HPP_
 
@@ -13,17 +14,18 @@
 
 class Service {
  public:
-  // One server for each of the settings. The loop outlives the service.
+  // Starts one server in this process for each of the settings. `io` must outlive the service.
   Service(net::asio::io_context& io, const std::vector<ServerSettings>& servers);
-  // Of servers that run elsewhere.
+  // Lists servers that run in other processes.
   Service(net::asio::io_context& io, std::vector<net::Tcp::endpoint> addresses);
 
+  // The address of discovery.
   net::Tcp::endpoint discovery() const { return discovery_.addresses().front(); }
   const std::vector<net::Tcp::endpoint>& addresses() const { return addresses_; }  // of the servers
   const DiscoveryStandIn::Counts& counts() const { return discovery_.counts(); }   // of discovery
-  // Tells all watches.
+  // Sends the changed entries to all watches.
   void Change(const std::vector<Entry>& entries) { discovery_.Change(entries); }
-  // Those of this process.
+  // The servers that run in this process.
   const std::vector<std::unique_ptr<ServerStandIn>>& servers() const { return servers_; }
 
  private:
@@ -32,10 +34,10 @@
   DiscoveryStandIn discovery_;
 };
 
-// Servers at these addresses, as discovery lists them.
+// Returns the entries that discovery lists for servers at these addresses.
 std::vector<Entry> Listed(const std::vector<net::Tcp::endpoint>& addresses);
 
-// As many servers of one kind, each with a seed of its own from that of `settings` on.
+// Returns `count` copies of the settings, with consecutive seeds that begin with the seed of `settings`.
 std::vector<ServerSettings> Alike(const ServerSettings& settings, int count);
 
 }  // namespace merlinrun::scale
--- a/scale/sidecars.cpp
+++ b/scale/sidecars.cpp
@@ -21,17 +21,18 @@
         plan_(CallPlan::Read(parameters)) {}
 
   Needs Requires() const override {
-    const auto most = static_cast<std::size_t>(*std::max_element(counts_.begin(), counts_.end()));
+    const auto max_count = static_cast<std::size_t>(*std::max_element(counts_.begin(), counts_.end()));
     const auto servers = static_cast<std::size_t>(servers_);
     const auto processes = static_cast<std::size_t>(plan_.server_processes);
-    Needs needs;
-    // Of each sidecar this process holds what RealSidecar does, the watch and two callers; the servers the
-    // ends of both ways.
-    needs.descriptors = 128 + servers + most * (8 + 2 * servers + 4 * plan_.Open(rate_));
-    needs.ports = servers + 1 + most + processes;
-    needs.processes = most + processes;
-    needs.memory_mb = 128 + 16 * static_cast<double>(needs.processes);  // sidecars that know few servers
-    return needs;
+    Needs requirements;
+    // For each sidecar, this process has the descriptors of RealSidecar, the watch and the connections of two
+    // callers. The server processes have the other ends of the direct calls and of the sidecars' calls.
+    requirements.descriptors = 128 + servers + max_count * (8 + 2 * servers + 4 * plan_.Open(rate_));
+    requirements.ports = servers + 1 + max_count + processes;
+    requirements.processes = max_count + processes;
+    // The lists are short, so a sidecar needs little memory.
+    requirements.memory_mb = 128 + 16 * static_cast<double>(requirements.processes);
+    return requirements;
   }
 
   void Run(Context& context) override {
@@ -44,7 +45,7 @@
   void Measure(Context& context, std::int64_t count, int repeat, std::uint64_t seed) const {
     net::asio::io_context io(1);
     RemoteServers servers(plan_.server_processes, context.scratch);
-    const Service service(io, servers.Open(Alike(plan_.Seeded(seed), servers_)));
+    const Service service(io, servers.Open(Alike(plan_.ServerWithSeed(seed), servers_)));
     RealSidecars sidecars(io, context, seed);
     Ways ways;
     for (const net::Tcp::endpoint& address : sidecars.Add(count, service.discovery())) {
@@ -52,28 +53,28 @@
       ways.through.push_back({address});
     }
     if (context.should_stop()) return;
-    const auto each = static_cast<double>(count);
+    const auto sidecar_count = static_cast<double>(count);
     const DiscoveryStandIn::Counts start = service.counts();
-    Sample sample{"sidecars", {{"sidecars", each}}, {}, repeat};
+    Sample sample{"sidecars", {{"sidecars", sidecar_count}}, {}, repeat};
     sample.figures["discovery_watches"] = static_cast<double>(start.watches);
-    sample.figures["discovery_calls_per_start"] = static_cast<double>(start.calls) / each;
-    sample.figures["discovery_bytes_out_per_start"] = static_cast<double>(start.bytes_out) / each;
+    sample.figures["discovery_calls_per_start"] = static_cast<double>(start.calls) / sidecar_count;
+    sample.figures["discovery_bytes_out_per_start"] = static_cast<double>(start.bytes_out) / sidecar_count;
     CallerSettings caller;
     caller.calls_per_s = rate_;
     caller.seed = seed;
     const PairedResult result = RunPaired(
         io, ways, caller, plan_.paired, [&] { return sidecars.cpu_us(); }, context.should_stop);
-    // Half of the time each has its calls.
+    // Each sidecar gets calls during half of this time: direct calls take the other half.
     sample.figures["cpu_us_per_s_per_sidecar"] =
-        static_cast<double>(result.cpu_us) / result.time.count() / each;
-    sample.figures["idle_cpu_us_per_s_per_sidecar"] = result.idle_cpu_us_per_s / each;
-    sample.figures["memory_bytes_per_sidecar"] = static_cast<double>(sidecars.rss_bytes()) / each;
-    RecordPaired(context, std::move(sample), result, servers);
+        static_cast<double>(result.cpu_us) / result.time.count() / sidecar_count;
+    sample.figures["idle_cpu_us_per_s_per_sidecar"] = result.idle_cpu_us_per_s / sidecar_count;
+    sample.figures["memory_bytes_per_sidecar"] = static_cast<double>(sidecars.rss_bytes()) / sidecar_count;
+    RecordPairedSample(context, std::move(sample), result, servers);
   }
 
   const std::vector<std::int64_t> counts_;
   const int servers_;
-  const double rate_;  // of each
+  const double rate_;  // calls per second of each caller
   const CallPlan plan_;
 };
 
--- a/scale/sidecars.hpp
+++ b/scale/sidecars.hpp
@@ -1,4 +1,5 @@
-// Step "sidecars": what a sidecar takes when many run on one machine, each with its caller.
+// Step "sidecars": the CPU time and memory of a sidecar, and its load on discovery, when many run on one
+// machine, each with its own caller.
 #ifndef MERLINRUN_SCALE_SIDECARS_HPP_
 #define MERLINRUN_SCALE_SIDECARS_HPP_
 
--- a/tests/scale/caller_test.cpp
+++ b/tests/scale/caller_test.cpp
@@ -16,11 +16,12 @@
 using namespace net::testing;  // NOLINT(google-build-using-namespace)
 namespace asio = net::asio;
 
-CallerSettings Even(double calls_per_s) {
+// Settings with evenly spaced calls.
+CallerSettings EvenlySpaced(double calls_per_s) {
   CallerSettings settings;
   settings.calls_per_s = calls_per_s;
   settings.poisson = false;
-  settings.deadline = 10min;  // no test waits for it
+  settings.deadline = 10min;  // longer than any test runs
   return settings;
 }
 
@@ -29,11 +30,11 @@
   asio::io_context io;
 };
 
-TEST_F(CallerTest, CallsGoOutOnTimeThoughNoneIsAnswered) {
-  ServerStandIn stalled(io, {.cores = 1, .queue = 1000, .service = std::chrono::hours(1)});
-  Caller caller(io, {stalled.address()}, Even(200));
+TEST_F(CallerTest, SendsCallsOnScheduleWhileNoneIsAnswered) {
+  ServerStandIn stalled(io, {.cores = 1, .queue = 1000, .service_time = std::chrono::hours(1)});
+  Caller caller(io, {stalled.address()}, EvenlySpaced(200));
   caller.Start(500ms);
-  ASSERT_TRUE(RunUntil(io, [&] { return stalled.held() == 99; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return stalled.open_requests() == 99; }));
   EXPECT_EQ(caller.results().counts.sent, 99u);  // at 5, 10, ... 495 ms
   EXPECT_EQ(caller.results().counts.ended(), 0u);
   EXPECT_EQ(caller.connections(), 99u);
@@ -41,10 +42,10 @@
   EXPECT_FALSE(caller.done());
 }
 
-// The stall of the loop is in the latencies of all calls that were due in it.
-TEST_F(CallerTest, AStallCountsForEachCallThatWasDueInIt) {
-  ServerStandIn server(io, {.service = std::chrono::microseconds(0)});
-  Caller caller(io, {server.address()}, Even(100));
+// If the event loop stalls, the latency of each call that was due meanwhile includes the delay.
+TEST_F(CallerTest, LatencyOfEachCallDueDuringAStallIncludesTheStall) {
+  ServerStandIn server(io, {.service_time = std::chrono::microseconds(0)});
+  Caller caller(io, {server.address()}, EvenlySpaced(100));
   caller.Start(400ms);
   std::this_thread::sleep_for(800ms);
   ASSERT_TRUE(RunUntil(io, [&] { return caller.done(); }));
@@ -56,13 +57,14 @@
   EXPECT_EQ(caller.results().counts.sent, 0u);
 }
 
-TEST_F(CallerTest, EachCallIsCountedOnceAsWhatBecameOfIt) {
-  ServerStandIn serving(io, {.service = std::chrono::microseconds(0)});
+TEST_F(CallerTest, CountsEachCallOnceByItsOutcome) {
+  ServerStandIn serving(io, {.service_time = std::chrono::microseconds(0)});
   ServerStandIn draining(io, {});
   draining.Drain();
   ServerStandIn failing(io, {.onward = {draining.address()}});
   ScriptedServer resetting(io, [](Peer& peer) { peer.Reset(); });
-  Caller caller(io, {serving.address(), draining.address(), failing.address(), resetting.address}, Even(500));
+  Caller caller(io, {serving.address(), draining.address(), failing.address(), resetting.address},
+                EvenlySpaced(500));
   caller.Start(202ms);
   ASSERT_TRUE(RunUntil(io, [&] { return caller.done(); }));
   const CallCounts& counts = caller.results().counts;
@@ -73,13 +75,13 @@
   EXPECT_EQ(counts.unanswered, 25u);
 }
 
-TEST_F(CallerTest, KeepsItsConnectionsAndSendsOnceMoreWhatCrossesAClose) {
+TEST_F(CallerTest, ReusesConnectionsAndResendsARequestThatCrossesAClose) {
   ScriptedServer server(io);
-  server.on_data = [&](Peer& peer) {  // answers one request of each connection, then closes at the next
+  server.on_data = [&](Peer& peer) {  // answers the first request of each connection, closes it at the second
     if (peer.requests() > 1) return peer.Close();
     peer.Write(Reply("200 OK", "ok"));
   };
-  CallerSettings settings = Even(20);
+  CallerSettings settings = EvenlySpaced(20);
   settings.classes = {{"read", true}};
   Caller caller(io, {server.address}, settings);
   caller.Start(520ms);
@@ -88,9 +90,9 @@
   EXPECT_GE(server.requests(), 10);
 }
 
-TEST_F(CallerTest, StoppedItSendsNoMoreAndWaitsForWhatIsOpen) {
+TEST_F(CallerTest, SendsNoMoreCallsAfterStopAndCompletesTheOpenOnes) {
   ServerStandIn server(io, {});
-  Caller caller(io, {server.address()}, Even(200));
+  Caller caller(io, {server.address()}, EvenlySpaced(200));
   caller.Start(1h);
   ASSERT_TRUE(RunUntil(io, [&] { return caller.results().counts.sent == 20; }));
   caller.Stop();
@@ -99,7 +101,7 @@
   EXPECT_EQ(caller.results().counts.served, 20u);
 }
 
-TEST_F(CallerTest, RequestsAreWhatTheSidecarTakes) {
+TEST_F(CallerTest, RequestsPassTheValidationOfTheSidecar) {
   std::mt19937_64 random(7);
   const HttpRequest get = NewRequest({"read", true}, "acme", 480ms, 200, random);
   const HttpRequest post = NewRequest({"write", false}, "", 480ms, 200, random);
--- a/tests/scale/remote_servers_test.cpp
+++ b/tests/scale/remote_servers_test.cpp
@@ -1,4 +1,4 @@
-// Servers in processes of their own, and what is seen of them and of sidecars from outside.
+// Tests of fake servers in child processes, and of real sidecars that are given another discovery address.
 #include "scale/remote_servers.hpp"
 
 #include <gtest/gtest.h>
@@ -20,9 +20,9 @@
 
 namespace asio = net::asio;
 
-constexpr auto kLong = std::chrono::seconds(60);  // no test waits for it
+constexpr auto kTimeout = std::chrono::seconds(60);  // reached only if a test fails
 
-class Nothing : public Recorder {
+class NullRecorder : public Recorder {
  public:
   void Add(Sample) override {}
 };
@@ -35,25 +35,25 @@
   }
   ~RemoteServersTest() override { std::filesystem::remove_all(context.scratch); }
 
-  // So many calls, one after another, each with an answer of 200.
+  // Sends this number of calls at intervals of 5 ms and expects a 200 for each.
   void Call(const std::vector<net::Tcp::endpoint>& targets, std::uint64_t calls) {
     CallerSettings settings;
     settings.poisson = false;
     settings.calls_per_s = 200;
-    settings.deadline = kLong;
+    settings.deadline = kTimeout;
     Caller caller(io, targets, settings);
     caller.Start(std::chrono::milliseconds(5) * calls + std::chrono::milliseconds(2));
     ASSERT_TRUE(RunUntil(
-        io, [&] { return caller.done(); }, kLong));
+        io, [&] { return caller.done(); }, kTimeout));
     EXPECT_EQ(caller.results().counts.served, calls);
   }
 
   asio::io_context io{1};
-  Nothing nothing;
-  Context context{nothing, 1, 1, FENNELHOLLOW_PROGRAM, {}, {}, [] { return false; }};
+  NullRecorder recorder;
+  Context context{recorder, 1, 1, FENNELHOLLOW_PROGRAM, {}, {}, [] { return false; }};
 };
 
-TEST_F(RemoteServersTest, ServeEachCallOnceAndTellHowLateTheyWere) {
+TEST_F(RemoteServersTest, ServeEachCallOnceAndReportTheirLateness) {
   RemoteServers servers(2, context.scratch);
   EXPECT_TRUE(servers.LatenessFigures().empty());
   const auto addresses = servers.Open(Alike({}, 3));
@@ -66,7 +66,7 @@
   EXPECT_EQ(servers.LatenessFigures().count("server_late_p99_ms"), 1u);
 }
 
-TEST_F(RemoteServersTest, CallOnward) {
+TEST_F(RemoteServersTest, CallTheNextService) {
   RemoteServers servers(2, context.scratch);
   ServerSettings first;
   first.onward = servers.Open(Alike({}, 2));
@@ -74,7 +74,7 @@
   EXPECT_EQ(servers.counts().served, 40u);
 }
 
-TEST_F(RemoteServersTest, SidecarsFollowANewAddressAndActOnAChangeThere) {
+TEST_F(RemoteServersTest, SidecarsWatchANewDiscoveryAddressAndApplyAChangeFromIt) {
   RemoteServers servers(1, context.scratch);
   auto addresses = servers.Open(Alike({}, 3));
   const Entry third = Listed(addresses).back();
@@ -83,22 +83,22 @@
   Service after(io, addresses);
   RealSidecars sidecars(io, context, 1, /*management=*/true);
   ASSERT_EQ(sidecars.Add(2, before.discovery()).size(), 2u);
-  std::vector<net::Tcp::endpoint> doors;
-  for (const auto& sidecar : sidecars.all()) doors.push_back(sidecar->management());
+  std::vector<net::Tcp::endpoint> management_addresses;
+  for (const auto& sidecar : sidecars.all()) management_addresses.push_back(sidecar->management());
   EXPECT_EQ(after.counts().watches, 0u);
 
   sidecars.Reload(after.discovery());
   ASSERT_TRUE(RunUntil(
-      io, [&] { return after.counts().watches == 2; }, kLong));
-  int told = 0;
-  const KnownServersWatch watch(io, doors, 3, [&] { ++told; });
+      io, [&] { return after.counts().watches == 2; }, kTimeout));
+  int notified = 0;
+  const KnownServersWatch watch(io, management_addresses, 3, [&] { ++notified; });
   RunFor(io, std::chrono::milliseconds(100));
-  EXPECT_EQ(told, 0);
+  EXPECT_EQ(notified, 0);
   after.Change({third});
   ASSERT_TRUE(RunUntil(
-      io, [&] { return told == 2; }, kLong));
+      io, [&] { return notified == 2; }, kTimeout));
   RunFor(io, std::chrono::milliseconds(100));
-  EXPECT_EQ(told, 2);  // once for each
+  EXPECT_EQ(notified, 2);  // once for each sidecar
   EXPECT_EQ(before.counts().watches, 0u);
 }
 
