--- a/scale/client_pool.hpp
+++ b/scale/client_pool.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 client that behaves as the applications of the protocol do: it sends one request at a time on a
+// HTTP/1.1 client that behaves as the protocol describes applications: it sends one request at a time on a
 // connection, keeps connections open, and opens another one when all are busy.
 #ifndef MERLINRUN_SCALE_CLIENT_POOL_HPP_
 #define MERLINRUN_SCALE_CLIENT_POOL_HPP_
--- a/scale/real_sidecar.cpp
+++ b/scale/real_sidecar.cpp
@@ -54,7 +54,8 @@
   WriteConfiguration();
   Child::Options child;
   child.program = options_.program;
-  // Environment variables override the configuration file.
+  // At the start, environment variables override the configuration file. After a reload the sidecar uses the
+  // discovery address of the file.
   child.environment = {"EDGE_CONFIG=" + ConfigurationFile(options_).string(),
                        "EDGE_LISTEN=" + AddressText(address()),
                        "EDGE_DISCOVERY=" + AddressText(options_.discovery),
--- a/scale/server_stand_in.cpp
+++ b/scale/server_stand_in.cpp
@@ -39,6 +39,7 @@
   std::size_t Capacity() const;
   bool Full() const { return running + queue.size() >= Capacity(); }
   void Enqueue(const std::shared_ptr<Session>& session);
+  // Starts queued requests while cores are free.
   void StartQueued();
   std::chrono::nanoseconds DrawServiceTime();
   // Updates `utilisation` up to now. Must be called before each change of `running`.
@@ -55,8 +56,8 @@
   std::unique_ptr<ClientPool> onward;
   std::unordered_set<Session*> sessions;
   std::deque<std::shared_ptr<Session>> queue;
-  std::size_t running = 0;
-  double utilisation = 0;  // share of the cores in use, exponentially averaged with a time constant of 1 s
+  std::size_t running = 0;  // requests in service
+  double utilisation = 0;   // share of the cores in use, exponentially averaged with a time constant of 1 s
   Clock::time_point utilisation_updated = started;
   std::size_t open_requests = 0;
   bool draining = false;
