--- a/scale/real_sidecar.cpp
+++ b/scale/real_sidecar.cpp
@@ -15,7 +15,7 @@
 namespace merlinrun::scale {
 namespace {
 
-// The clients of a scored run wait no longer than this for a sidecar to become ready.
+// The clients of a benchmark run wait no longer than this for a sidecar to become ready.
 constexpr auto kMaxStartTime = std::chrono::seconds(30);
 constexpr auto kReadyPollInterval = std::chrono::milliseconds(10);
 
@@ -25,7 +25,7 @@
   return text.str();
 }
 
-// Returns the content of the configuration file, with the resource limits of a scored run.
+// Returns the content of the configuration file, with the resource limits of a benchmark run.
 nlohmann::json Configuration(const SidecarOptions& options, const net::Tcp::endpoint& listen) {
   return {{"name", options.name},
           {"listen", AddressText(listen)},
