--- a/scale/call_rate.cpp
+++ b/scale/call_rate.cpp
@@ -48,16 +48,16 @@
     RemoteServers servers(plan_.server_processes, context.scratch);
     const Service service(io, servers.Open(Alike(plan_.ServerWithSeed(seed), servers_)));
     RealSidecars sidecars(io, context, seed);
-    Ways ways;
+    Ways paths;
     for (const net::Tcp::endpoint& address : sidecars.Add(sidecars_, service.discovery())) {
-      ways.direct.push_back(service.addresses());
-      ways.through.push_back({address});
+      paths.direct.push_back(service.addresses());
+      paths.through.push_back({address});
     }
     CallerSettings caller;
     caller.calls_per_s = rate;
     caller.seed = seed;
     const PairedResult result = RunPaired(
-        io, ways, caller, plan_.paired, [&] { return sidecars.cpu_us(); }, context.should_stop);
+        io, paths, caller, plan_.paired, [&] { return sidecars.cpu_us(); }, context.should_stop);
     const auto sidecar_count = static_cast<double>(sidecars_);
     Sample sample{"call_rate", {{"calls_per_s", rate}}, {}, repeat};
     sample.figures["idle_cpu_us_per_s"] = result.idle_cpu_us_per_s / sidecar_count;
--- a/scale/sidecars.cpp
+++ b/scale/sidecars.cpp
@@ -47,10 +47,10 @@
     RemoteServers servers(plan_.server_processes, context.scratch);
     const Service service(io, servers.Open(Alike(plan_.ServerWithSeed(seed), servers_)));
     RealSidecars sidecars(io, context, seed);
-    Ways ways;
+    Ways paths;
     for (const net::Tcp::endpoint& address : sidecars.Add(count, service.discovery())) {
-      ways.direct.push_back(service.addresses());
-      ways.through.push_back({address});
+      paths.direct.push_back(service.addresses());
+      paths.through.push_back({address});
     }
     if (context.should_stop()) return;
     const auto sidecar_count = static_cast<double>(count);
@@ -63,7 +63,7 @@
     caller.calls_per_s = rate_;
     caller.seed = seed;
     const PairedResult result = RunPaired(
-        io, ways, caller, plan_.paired, [&] { return sidecars.cpu_us(); }, context.should_stop);
+        io, paths, caller, plan_.paired, [&] { return sidecars.cpu_us(); }, context.should_stop);
     // Each sidecar gets calls during half of this time: direct calls take the other half.
     sample.figures["cpu_us_per_s_per_sidecar"] =
         static_cast<double>(result.cpu_us) / result.time.count() / sidecar_count;
