--- a/scale/address.hpp
+++ b/scale/address.hpp
@@ -1,4 +1,4 @@
-// Addresses in the form that configurations and lists of servers have them in.
+// Formats addresses as configuration files and server lists contain them.
 #ifndef MERLINRUN_SCALE_ADDRESS_HPP_
 #define MERLINRUN_SCALE_ADDRESS_HPP_
 
@@ -7,7 +7,7 @@
 
 namespace merlinrun::scale {
 
-// IPv4 only: HOST:PORT.
+// Returns HOST:PORT. IPv4 only, as an IPv6 address would need brackets.
 inline std::string AddressText(const boost::asio::ip::tcp::endpoint& address) {
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
--- a/scale/capacity.cpp
+++ b/scale/capacity.cpp
@@ -14,11 +14,11 @@
 
 using Conditions = std::map<std::string, double>;
 
-// A name of something measured: "slope.list_size.memory_bytes.listed[real=0]".
+// The parts of the name of a measured value: "slope.list_size.memory_bytes.listed[real=0]".
 struct MeasuredName {
   std::string kind;
-  std::vector<std::string> parts;  // measure, figure and, but for medians, condition
-  Conditions conditions;           // of the brackets
+  std::vector<std::string> parts;  // measure, figure and, except for medians, condition
+  Conditions conditions;           // from the brackets
 };
 
 Conditions ParseConditions(const std::string& text) {
@@ -31,7 +31,7 @@
     const char* number = equals == std::string::npos ? "" : pair.c_str() + equals + 1;
     const double value = std::strtod(number, &end);
     if (*number == '\0' || *end != '\0')
-      throw FormulaError("[" + text + "] must be conditions as in [a=1,b=2]");
+      throw FormulaError("[" + text + "] must be conditions such as [a=1,b=2]");
     conditions[pair.substr(0, equals)] = value;
   }
   return conditions;
@@ -52,141 +52,146 @@
   return parsed;
 }
 
-bool Holds(const Conditions& all, const Conditions& some) {
+bool ContainsAll(const Conditions& all, const Conditions& some) {
   return std::all_of(some.begin(), some.end(), [&all](const auto& condition) {
     const auto found = all.find(condition.first);
     return found != all.end() && found->second == condition.second;
   });
 }
 
-std::string RunName(const FittedRun& run) { return run.result.partial ? run.name + ", partial" : run.name; }
+std::string RunLabel(const FittedRun& run) { return run.result.partial ? run.name + ", partial" : run.name; }
 
-// The values of one row's names, and what they rest on.
-class Names {
+// Resolves the names in the formulas of one row, and records which measured values they use.
+class NameResolver {
  public:
-  Names(const std::map<std::string, double>& values, const Roles& roles, std::span<const FittedRun> runs)
+  NameResolver(const std::map<std::string, double>& values, const Roles& roles,
+               std::span<const FittedRun> runs)
       : values_(values), roles_(roles), runs_(runs) {}
 
   double Value(const std::string& formula) {
     return Evaluate(formula, [this](const std::string& name, std::optional<double> argument) {
-      return Named(name, argument);
+      return Resolve(name, argument);
     });
   }
 
-  // Takes the size for slopes that stood without one.
-  void UseBareSlopesAt(double size) {
-    for (const double most : bare_) Use(size, most);
-    bare_.clear();
+  // Records `size` as the size at which the slopes without an argument are used.
+  void SetBareSlopeSize(double size) {
+    for (const double max_measured : bare_slope_max_sizes_) RecordSize(size, max_measured);
+    bare_slope_max_sizes_.clear();
   }
 
-  void Fill(Demand& demand) const {
-    demand.rests_on = rests_on_;
+  void FillSources(Demand& demand) const {
+    demand.sources = sources_;
     demand.series = series_;
-    demand.past = past_;
-    demand.past_unknown = !bare_.empty();
+    demand.size_ratio = size_ratio_;
+    demand.size_unknown = !bare_slope_max_sizes_.empty();
   }
 
  private:
-  double Named(const std::string& name, std::optional<double> argument) {
+  double Resolve(const std::string& name, std::optional<double> argument) {
     if (const auto measured = ParseMeasured(name)) {
-      if (measured->kind == "median") return NamedMedian(name, *measured, argument);
-      return NamedLine(name, *measured, argument);
+      if (measured->kind == "median") return ResolveMedian(name, *measured, argument);
+      return ResolveLine(name, *measured, argument);
     }
     if (argument) throw FormulaError(name + " takes no argument");
     if (const auto value = values_.find(name); value != values_.end()) return value->second;
     const auto formula = roles_.formulas.find(name);
     if (formula == roles_.formulas.end()) throw FormulaError(name + " is not known");
-    if (!open_.insert(name).second) throw FormulaError(name + " rests on itself");
+    if (!formulas_in_evaluation_.insert(name).second) throw FormulaError(name + " depends on itself");
     try {
       const double value = Value(formula->second);
-      open_.erase(name);
+      formulas_in_evaluation_.erase(name);
       return value;
     } catch (const FormulaError& error) {
       throw FormulaError(name + ": " + error.what());
     }
   }
 
-  double NamedMedian(const std::string& name, const MeasuredName& wanted, std::optional<double> argument) {
+  double ResolveMedian(const std::string& name, const MeasuredName& measured,
+                       std::optional<double> argument) {
     if (argument) throw FormulaError(name + " takes no argument");
     for (const FittedRun& run : runs_) {
-      std::set<Conditions> under;
+      std::set<Conditions> conditions_seen;
       std::vector<double> values;
       for (const Sample& sample : run.result.samples) {
-        const auto figure = sample.figures.find(wanted.parts[1]);
-        if (sample.measure != wanted.parts[0] || figure == sample.figures.end()) continue;
-        if (!Holds(sample.conditions, wanted.conditions)) continue;
-        under.insert(sample.conditions);
+        const auto figure = sample.figures.find(measured.parts[1]);
+        if (sample.measure != measured.parts[0] || figure == sample.figures.end()) continue;
+        if (!ContainsAll(sample.conditions, measured.conditions)) continue;
+        conditions_seen.insert(sample.conditions);
         values.push_back(figure->second);
       }
-      if (under.size() > 1)
-        throw FormulaError(name + " was taken under several conditions: choose by [name=value]");
+      if (conditions_seen.size() > 1)
+        throw FormulaError(name + " was taken under several conditions: select one by [name=value]");
       if (values.empty()) continue;
-      rests_on_.insert(name + " (" + RunName(run) + ")");
+      sources_.insert(name + " (" + RunLabel(run) + ")");
       return Median(std::move(values));
     }
     throw FormulaError(name + " was not measured");
   }
 
-  double NamedLine(const std::string& name, const MeasuredName& wanted, std::optional<double> argument) {
-    std::string missing = name + " was not measured";
+  double ResolveLine(const std::string& name, const MeasuredName& measured, std::optional<double> argument) {
+    std::string reason = name + " was not measured";
     for (const FittedRun& run : runs_) {
       const Series* found = nullptr;
       const SeriesName* found_name = nullptr;
       for (const auto& [series_name, series] : run.series) {
-        const bool same = series_name.measure == wanted.parts[0] && series_name.figure == wanted.parts[1] &&
-                          series_name.condition == wanted.parts[2];
-        if (!same || !Holds(series_name.others, wanted.conditions)) continue;
-        if (!series.line) missing = name + " has too few sizes for a slope";
+        const bool matches = series_name.measure == measured.parts[0] &&
+                             series_name.figure == measured.parts[1] &&
+                             series_name.condition == measured.parts[2];
+        if (!matches || !ContainsAll(series_name.others, measured.conditions)) continue;
+        if (!series.line) reason = name + " has too few sizes for a slope";
         if (!series.line) continue;
-        if (found != nullptr) throw FormulaError(name + " names several series: choose by [name=value]");
+        if (found != nullptr)
+          throw FormulaError(name + " matches several series: select one by [name=value]");
         found = &series;
         found_name = &series_name;
       }
       if (found == nullptr) continue;
-      rests_on_.insert(name + " (" + RunName(run) + ")");
+      sources_.insert(name + " (" + RunLabel(run) + ")");
       series_.insert(*found_name);
-      return OfLine(name, wanted.kind, *found, argument);
+      return LineValue(name, measured.kind, *found, argument);
     }
-    throw FormulaError(missing);
+    throw FormulaError(reason);
   }
 
-  double OfLine(const std::string& name, const std::string& kind, const Series& series,
-                std::optional<double> argument) {
+  double LineValue(const std::string& name, const std::string& kind, const Series& series,
+                   std::optional<double> argument) {
     if (kind == "intercept") {
       if (argument) throw FormulaError(name + " takes no argument");
       return series.line->intercept;
     }
     if (!argument) {
       if (kind == "line") throw FormulaError(name + " needs a size in parentheses");
-      bare_.push_back(series.sizes.back());
+      bare_slope_max_sizes_.push_back(series.sizes.back());
       return series.line->slope;
     }
-    Use(*argument, series.sizes.back());
+    RecordSize(*argument, series.sizes.back());
     return series.line->slope * *argument + (kind == "line" ? series.line->intercept : 0);
   }
 
-  void Use(double size, double most) {
-    if (most > 0) past_ = std::max(past_.value_or(0), size / most);
+  void RecordSize(double size, double max_measured) {
+    if (max_measured > 0) size_ratio_ = std::max(size_ratio_.value_or(0), size / max_measured);
   }
 
   const std::map<std::string, double>& values_;
   const Roles& roles_;
   std::span<const FittedRun> runs_;
-  std::set<std::string> open_;  // named formulas in work
-  std::set<std::string> rests_on_;
+  std::set<std::string> formulas_in_evaluation_;  // named formulas that are being evaluated, to detect cycles
+  std::set<std::string> sources_;
   std::set<SeriesName> series_;
-  std::vector<double> bare_;  // the largest size measured, for each slope without an argument
-  std::optional<double> past_;
+  std::vector<double>
+      bare_slope_max_sizes_;  // largest measured size of each bare slope: one without an argument
+  std::optional<double> size_ratio_;
 };
 
 }  // namespace
 
-std::vector<Demand> CapacityModel::Demands(const std::map<std::string, double>& instead) const {
+std::vector<Demand> CapacityModel::Demands(const std::map<std::string, double>& overrides) const {
   std::map<std::string, double> values = targets_.values;
-  for (const auto& [name, value] : instead) values[name] = value;
+  for (const auto& [name, value] : overrides) values[name] = value;
   for (const auto& [name, formula] : roles_.formulas) {
     if (values.contains(name))
-      RejectInput(roles_.file, "formulas." + name, "is a name of the targets file too");
+      RejectInput(roles_.file, "formulas." + name, "is also a name in the targets file");
   }
   std::vector<Demand> demands;
   for (const RoleRow& row : roles_.rows) {
@@ -194,14 +199,14 @@
     demand.row = &row;
     std::string key = ".formula";
     try {
-      Names names(values, roles_, runs_);
-      demand.demand = names.Value(row.formula);
+      NameResolver resolver(values, roles_, runs_);
+      demand.demand = resolver.Value(row.formula);
       key = ".at";
-      if (!row.at.empty()) names.UseBareSlopesAt(Names(values, roles_, runs_).Value(row.at));
-      names.Fill(demand);
+      if (!row.at.empty()) resolver.SetBareSlopeSize(NameResolver(values, roles_, runs_).Value(row.at));
+      resolver.FillSources(demand);
       key = ".budget";
       if (!row.budget.empty()) {
-        demand.budget = Names(values, roles_, runs_).Value(row.budget);
+        demand.budget = NameResolver(values, roles_, runs_).Value(row.budget);
         if (*demand.budget <= 0) throw FormulaError("must be above 0");
       }
     } catch (const FormulaError& error) {
@@ -212,9 +217,9 @@
   return demands;
 }
 
-std::optional<double> CapacityModel::DemandBy(const FittedRun& run, const RoleRow& row) const {
+std::optional<double> CapacityModel::DemandFromRun(const FittedRun& run, const RoleRow& row) const {
   try {
-    return Names(targets_.values, roles_, std::span(&run, 1)).Value(row.formula);
+    return NameResolver(targets_.values, roles_, std::span(&run, 1)).Value(row.formula);
   } catch (const FormulaError&) {
     return std::nullopt;
   }
--- a/scale/capacity_input.cpp
+++ b/scale/capacity_input.cpp
@@ -7,31 +7,32 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr double kMost = std::numeric_limits<double>::max();
+constexpr double kMaxValue = std::numeric_limits<double>::max();
 
-// Values stand as numbers, or as tables of `value` with `unit` and `reason` for the reader of the file.
+// A value is a number, or a table of `value` with `unit` and `reason`, which explain it to readers of the
+// file.
 void ReadValues(const std::filesystem::path& file, const std::string& section, const toml::table& table,
                 Targets& targets) {
   std::string prefix = section + ".";
   TableReader reader(file, prefix, table);
   for (const auto& [key, node] : table) {
     const std::string name(key.str());
-    if (targets.values.contains(name)) reader.Reject(name, "stands twice");
+    if (targets.values.contains(name)) reader.Reject(name, "is defined twice");
     std::string reason;
     if (node.is_table()) {
       prefix.resize(section.size() + 1);
       prefix.append(name).append(".");
       TableReader entry(file, prefix, *node.as_table());
       if (!entry.Has("value")) entry.Reject("value", "is missing");
-      targets.values[name] = entry.Number("value", 0, -kMost, kMost);
+      targets.values[name] = entry.Number("value", 0, -kMaxValue, kMaxValue);
       entry.Word("unit", "");
       reason = entry.Word("reason", "");
       entry.RejectUnusedKeys();
     } else {
-      targets.values[name] = reader.Number(name, 0, -kMost, kMost);
+      targets.values[name] = reader.Number(name, 0, -kMaxValue, kMaxValue);
     }
     if (section != "assumptions") continue;
-    if (reason.empty()) reader.Reject(name, "an assumption needs its reason");
+    if (reason.empty()) reader.Reject(name, "an assumption needs a reason");
     targets.assumptions.push_back({name, reason});
   }
 }
@@ -57,24 +58,24 @@
   Roles roles;
   roles.file = file;
   if (const toml::table* formulas = reader.Table("formulas")) {
-    TableReader named(file, "formulas.", *formulas);
+    TableReader formula_reader(file, "formulas.", *formulas);
     for (const auto& [key, node] : *formulas) {
       const std::string name(key.str());
-      roles.formulas[name] = named.Needed(name);
+      roles.formulas[name] = formula_reader.RequiredString(name);
     }
   }
   for (const toml::table* table : reader.Tables("row")) {
     RoleRow row;
     row.key = "row[" + std::to_string(roles.rows.size() + 1) + "]";
     TableReader entry(file, row.key + ".", *table);
-    row.role = entry.Needed("role");
-    row.figure = entry.Needed("figure");
-    row.unit = entry.Needed("unit");
-    row.when = entry.Needed("when");
+    row.role = entry.RequiredString("role");
+    row.figure = entry.RequiredString("figure");
+    row.unit = entry.RequiredString("unit");
+    row.when = entry.RequiredString("when");
     if (row.when != "ordinary" && row.when != "worst" && row.when != "day") {
       entry.Reject("when", "must be ordinary, worst or day");
     }
-    row.formula = entry.Needed("formula");
+    row.formula = entry.RequiredString("formula");
     row.budget = entry.Word("budget", "");
     row.at = entry.Word("at", "");
     row.mechanism = entry.Word("mechanism", "");
--- a/scale/capacity_input.hpp
+++ b/scale/capacity_input.hpp
@@ -1,5 +1,5 @@
-// The committed files that say what the target is, and by which formulas its demand follows from what was
-// measured.
+// Reads the input files of the capacity model: the target, and the formulas that derive its demand from
+// measured figures.
 #ifndef MERLINRUN_SCALE_CAPACITY_INPUT_HPP_
 #define MERLINRUN_SCALE_CAPACITY_INPUT_HPP_
 
@@ -15,33 +15,33 @@
   std::string reason;
 };
 
-// docs/capacity/targets.toml: [targets], [budgets] and [assumptions], whose names are one space.
+// docs/capacity/targets.toml: [targets], [budgets] and [assumptions]. Names must be unique over all three.
 struct Targets {
   std::map<std::string, double> values;
-  std::vector<Assumption> assumptions;  // by name
+  std::vector<Assumption> assumptions;  // sorted by name
 };
 
-// A figure of a role, at the target.
+// The demand for one figure of a role at the target.
 struct RoleRow {
-  std::string key;      // "row[3]", counted from 1
+  std::string key;      // "row[3]", numbered from 1
   std::string role;     // "sidecar"
   std::string figure;   // "memory"
   std::string unit;     // of demand and budget
-  std::string when;     // "ordinary", "worst" (second) or "day"
+  std::string when;     // "ordinary", "worst" (the worst second) or "day"
   std::string formula;  // of the demand
-  std::string budget;   // a formula too; empty where neither the target nor an assumption limits the figure
-  std::string at;       // a formula of the size that bare slopes are used at; may be empty
+  std::string budget;   // a formula; empty if neither the target nor an assumption limits the figure
+  std::string at;       // a formula for the size at which slopes without an argument are used; may be empty
   std::string mechanism;
 };
 
-// docs/capacity/roles.toml: [formulas] that others may name, and [[row]]s.
+// docs/capacity/roles.toml: [formulas], whose names other formulas may use, and the [[row]]s.
 struct Roles {
   std::filesystem::path file;
   std::map<std::string, std::string> formulas;
   std::vector<RoleRow> rows;
 };
 
-// Both throw ScenarioError with file and key.
+// Both throw ScenarioError with file and key for invalid content.
 Targets ReadTargets(const std::filesystem::path& file);
 Roles ReadRoles(const std::filesystem::path& file);
 
--- a/scale/capacity_tables.cpp
+++ b/scale/capacity_tables.cpp
@@ -14,59 +14,61 @@
 namespace merlinrun::scale {
 namespace {
 
-// A line of a Markdown table. Bars in a cell would end it.
+// Returns a row of a Markdown table. Vertical bars in cells are escaped, as they would end the cell.
 std::string Row(std::vector<std::string> cells) {
   for (std::string& cell : cells) boost::replace_all(cell, "|", "\\|");
   return "| " + boost::join(cells, " | ") + " |\n";
 }
 
-std::string Head(const std::vector<std::string>& names) {
+std::string HeaderRows(const std::vector<std::string>& names) {
   return Row(names) + Row(std::vector<std::string>(names.size(), "---"));
 }
 
-std::string FactorOf(double factor) { return Short(factor) + (factor > 1 ? " over" : " under"); }
+std::string FactorText(double factor) { return FormatNumber(factor) + (factor > 1 ? " over" : " under"); }
 
-std::string FactorOf(const Demand& demand) { return demand.budget ? FactorOf(demand.Factor()) : "-"; }
+std::string FactorText(const Demand& demand) { return demand.budget ? FactorText(demand.Factor()) : "-"; }
 
-std::string Past(const Demand& demand) {
-  if (demand.past_unknown) return "size not stated";
-  if (!demand.past) return "no slope in it";
-  return (*demand.past > 1 ? "yes, " : "no, ") + Short(*demand.past) + " of the largest size";
+std::string ExtrapolationText(const Demand& demand) {
+  if (demand.size_unknown) return "size not stated";
+  if (!demand.size_ratio) return "no slope in it";
+  return (*demand.size_ratio > 1 ? "yes, " : "no, ") + FormatNumber(*demand.size_ratio) +
+         " of the largest size";
 }
 
-const Demand& Worst(const std::vector<Demand>& demands) {
+const Demand& WorstDemand(const std::vector<Demand>& demands) {
   return *std::max_element(demands.begin(), demands.end(),
                            [](const Demand& a, const Demand& b) { return a.Factor() < b.Factor(); });
 }
 
-// A slope, whatever other conditions it was taken under.
+// Names a slope without the other conditions under which it was measured.
 using SlopeName = std::tuple<std::string, std::string, std::string>;
-SlopeName NameOf(const SeriesName& name) { return {name.measure, name.figure, name.condition}; }
+SlopeName SlopeNameOf(const SeriesName& name) { return {name.measure, name.figure, name.condition}; }
 
-// The slopes that a row rests on, under all conditions that they were taken under, so that what rests on one
-// is seen beside its counterpart: real beside hollow, with relays beside without.
+// Shows every slope that a row uses, under all conditions under which it was measured. This puts each used
+// slope next to its counterparts: real and simulated sidecars, with and without relays.
 std::string SlopesTable(const std::vector<FittedRun>& runs, const std::vector<Demand>& demands) {
   std::set<SlopeName> used;
   for (const Demand& demand : demands)
-    for (const SeriesName& name : demand.series) used.insert(NameOf(name));
-  std::string text =
-      Head({"slope", "run", "per one more", "at none", "Theil-Sen", "sizes", "two decades", "residual rms",
-            "residual largest", "spread of repeats", "exponent", "exponent of the increase"});
+    for (const SeriesName& name : demand.series) used.insert(SlopeNameOf(name));
+  std::string text = HeaderRows({"slope", "run", "per one more", "at none", "Theil-Sen", "sizes",
+                                 "two decades", "residual rms", "residual largest", "spread of repeats",
+                                 "exponent", "exponent of the increase"});
   for (const FittedRun& run : runs) {
     const std::string name = run.result.partial ? run.name + ", partial" : run.name;
     for (const auto& [series_name, series] : run.series) {
-      if (!series.line || !used.contains(NameOf(series_name))) continue;  // too few sizes, or of no row
+      if (!series.line || !used.contains(SlopeNameOf(series_name)))
+        continue;  // too few sizes, or not used by any row
       std::vector<std::string> sizes;
-      for (const double size : series.sizes) sizes.push_back(Short(size));
+      for (const double size : series.sizes) sizes.push_back(FormatNumber(size));
       std::vector<std::string> cells = {ToString(series_name), name};
-      cells.insert(cells.end(),
-                   {Short(series.line->slope), Short(series.line->intercept), Short(series.theil_sen)});
-      cells.insert(cells.end(), {boost::join(sizes, ", "), series.TwoDecades() ? "yes" : "no"});
-      cells.push_back(Percent(series.residual_rms));
-      cells.push_back(Percent(series.residual_largest));
-      cells.push_back(Percent(series.spread));
-      cells.push_back(ShortOrDash(series.exponent));
-      cells.push_back(ShortOrDash(series.increase_exponent));
+      cells.insert(cells.end(), {FormatNumber(series.line->slope), FormatNumber(series.line->intercept),
+                                 FormatNumber(series.theil_sen)});
+      cells.insert(cells.end(), {boost::join(sizes, ", "), series.SpansTwoDecades() ? "yes" : "no"});
+      cells.push_back(FormatPercent(series.residual_rms));
+      cells.push_back(FormatPercent(series.residual_largest));
+      cells.push_back(FormatPercent(series.spread));
+      cells.push_back(FormatNumberOrDash(series.exponent));
+      cells.push_back(FormatNumberOrDash(series.increase_exponent));
       text += Row(cells);
     }
   }
@@ -74,127 +76,132 @@
 }
 
 std::string RolesTable(const std::vector<Demand>& demands) {
-  std::string text = Head({"role", "figure", "when", "demand", "budget", "unit", "of the budget", "rests on",
-                           "formula", "extrapolated", "mechanism"});
+  std::string text = HeaderRows({"role", "figure", "when", "demand", "budget", "unit", "of the budget",
+                                 "rests on", "formula", "extrapolated", "mechanism"});
   for (const Demand& demand : demands) {
     const RoleRow& row = *demand.row;
-    text += Row({row.role, row.figure, row.when, Short(demand.demand), ShortOrDash(demand.budget), row.unit,
-                 FactorOf(demand),
-                 demand.rests_on.empty() ? "nothing measured" : boost::join(demand.rests_on, "; "),
-                 "`" + row.formula + "`", Past(demand),
+    text += Row({row.role, row.figure, row.when, FormatNumber(demand.demand),
+                 FormatNumberOrDash(demand.budget), row.unit, FactorText(demand),
+                 demand.sources.empty() ? "nothing measured" : boost::join(demand.sources, "; "),
+                 "`" + row.formula + "`", ExtrapolationText(demand),
                  row.mechanism.empty() && demand.budget ? "missing" : row.mechanism});
   }
   return text;
 }
 
-// Each role by its row that is worst.
+// Ranks the roles, each by the row that needs the largest share of its budget.
 std::string RankingTable(const std::vector<Demand>& demands) {
   std::map<std::string, const Demand*> worst;
   for (const Demand& demand : demands) {
     if (!demand.budget) continue;
-    const Demand*& known = worst[demand.row->role];
-    if (known == nullptr || demand.Factor() > known->Factor()) known = &demand;
+    const Demand*& current = worst[demand.row->role];
+    if (current == nullptr || demand.Factor() > current->Factor()) current = &demand;
   }
   std::vector<const Demand*> ranked;
   ranked.reserve(worst.size());
   for (const auto& [role, demand] : worst) ranked.push_back(demand);
   std::stable_sort(ranked.begin(), ranked.end(),
                    [](const Demand* a, const Demand* b) { return a->Factor() > b->Factor(); });
-  std::string text = Head({"rank", "role", "figure", "when", "demand", "budget", "unit", "of the budget"});
+  std::string text =
+      HeaderRows({"rank", "role", "figure", "when", "demand", "budget", "unit", "of the budget"});
   for (std::size_t i = 0; i < ranked.size(); ++i) {
     const RoleRow& row = *ranked[i]->row;
-    text += Row({std::to_string(i + 1), row.role, row.figure, row.when, Short(ranked[i]->demand),
-                 ShortOrDash(ranked[i]->budget), row.unit, FactorOf(*ranked[i])});
+    text += Row({std::to_string(i + 1), row.role, row.figure, row.when, FormatNumber(ranked[i]->demand),
+                 FormatNumberOrDash(ranked[i]->budget), row.unit, FactorText(*ranked[i])});
   }
   return text;
 }
 
 std::string WorstCell(const std::vector<Demand>& demands) {
-  const Demand& worst = Worst(demands);
-  return FactorOf(worst) + " (" + worst.row->role + ", " + worst.row->figure + ", " + worst.row->when + ")";
+  const Demand& worst = WorstDemand(demands);
+  return FactorText(worst) + " (" + worst.row->role + ", " + worst.row->figure + ", " + worst.row->when + ")";
 }
 
-// The row whose factor an assumption moves most, in ratio, and from where to where.
-std::string MovedCell(const std::vector<Demand>& half, const std::vector<Demand>& twice) {
-  std::size_t most = 0;
-  double largest = 0;
+// Names the row whose factor changes most, as a ratio, between half and twice the assumption's value, with
+// both factors.
+std::string MostAffectedCell(const std::vector<Demand>& half, const std::vector<Demand>& twice) {
+  std::size_t most_affected = 0;
+  double largest_change = 0;
   for (std::size_t i = 0; i < half.size(); ++i) {
     if (!half[i].budget) continue;
-    const double moved = std::abs(std::log(twice[i].Factor() / half[i].Factor()));
-    if (moved > largest) {
-      largest = moved;
-      most = i;
+    const double change = std::abs(std::log(twice[i].Factor() / half[i].Factor()));
+    if (change > largest_change) {
+      largest_change = change;
+      most_affected = i;
     }
   }
-  if (largest < 1e-9) return "nothing";
-  const RoleRow& row = *half[most].row;
-  return Short(half[most].Factor()) + " to " + Short(twice[most].Factor()) + " (" + row.role + ", " +
-         row.figure + ", " + row.when + ")";
+  if (largest_change < 1e-9) return "nothing";
+  const RoleRow& row = *half[most_affected].row;
+  return FormatNumber(half[most_affected].Factor()) + " to " + FormatNumber(twice[most_affected].Factor()) +
+         " (" + row.role + ", " + row.figure + ", " + row.when + ")";
 }
 
 std::string AssumptionsTable(const CapacityModel& model, const std::vector<Demand>& demands) {
-  std::string text = Head(
+  std::string text = HeaderRows(
       {"assumption", "value", "reason", "worst at half", "worst as it is", "worst at twice", "moves most"});
   for (const Assumption& assumption : model.targets().assumptions) {
     const double value = model.targets().values.at(assumption.name);
     const std::vector<Demand> half = model.Demands({{assumption.name, value / 2}});
     const std::vector<Demand> twice = model.Demands({{assumption.name, value * 2}});
-    text += Row({assumption.name, Short(value), OneLine(assumption.reason), WorstCell(half),
-                 WorstCell(demands), WorstCell(twice), MovedCell(half, twice)});
+    text += Row({assumption.name, FormatNumber(value), OneLine(assumption.reason), WorstCell(half),
+                 WorstCell(demands), WorstCell(twice), MostAffectedCell(half, twice)});
   }
   return text;
 }
 
-// The slopes of a row that a later run does not have within the first one's spread of repeats.
-std::string Outside(const Demand& demand, const FittedRun& first, const FittedRun& later) {
+// Names the slopes of a row that differ between the two runs by more than the spread of the first run's
+// repeats.
+std::string SlopesOutsideSpread(const Demand& demand, const FittedRun& first, const FittedRun& later) {
   std::vector<std::string> outside;
   for (const SeriesName& name : demand.series) {
-    const auto one = first.series.find(name);
-    const auto other = later.series.find(name);
-    if (one == first.series.end() || other == later.series.end()) continue;
-    if (!WithinSpread(one->second, other->second).value_or(true)) outside.push_back(ToString(name));
+    const auto first_series = first.series.find(name);
+    const auto later_series = later.series.find(name);
+    if (first_series == first.series.end() || later_series == later.series.end()) continue;
+    if (!WithinSpread(first_series->second, later_series->second).value_or(true))
+      outside.push_back(ToString(name));
   }
   return outside.empty() ? "none" : boost::join(outside, "; ");
 }
 
-// How far the runs agree on what each row's demand comes to.
+// Compares the demand of each row as computed from the first run and from each later run.
 std::string AgreementTable(const CapacityModel& model, const std::vector<Demand>& demands) {
   const std::vector<FittedRun>& runs = model.runs();
   if (runs.size() < 2) return "One result alone: nothing to compare.\n";
   std::string text;
   for (std::size_t later = 1; later < runs.size(); ++later) {
     if (later > 1) text += "\n";
-    text += Head({"role", "figure", "when", "by " + runs[0].name, "by " + runs[later].name, "ratio",
-                  "slopes outside the first one's spread"});
+    text += HeaderRows({"role", "figure", "when", "by " + runs[0].name, "by " + runs[later].name, "ratio",
+                        "slopes outside the first one's spread"});
     for (const Demand& demand : demands) {
-      if (demand.rests_on.empty()) continue;
+      if (demand.sources.empty()) continue;
       const RoleRow& row = *demand.row;
-      const auto first = model.DemandBy(runs[0], row);
-      const auto again = model.DemandBy(runs[later], row);
+      const auto first = model.DemandFromRun(runs[0], row);
+      const auto again = model.DemandFromRun(runs[later], row);
       const bool both = first && again;
-      text += Row({row.role, row.figure, row.when, ShortOrDash(first), ShortOrDash(again),
-                   both && *first != 0 ? Short(*again / *first) : "-",
-                   both ? Outside(demand, runs[0], runs[later]) : "not in both"});
+      text += Row({row.role, row.figure, row.when, FormatNumberOrDash(first), FormatNumberOrDash(again),
+                   both && *first != 0 ? FormatNumber(*again / *first) : "-",
+                   both ? SlopesOutsideSpread(demand, runs[0], runs[later]) : "not in both"});
     }
   }
   return text;
 }
 
-std::string Start(const std::string& name) { return "<!-- table " + name + " -->\n"; }
-std::string End(const std::string& name) { return "<!-- end " + name + " -->\n"; }
+std::string StartMarker(const std::string& name) { return "<!-- table " + name + " -->\n"; }
+std::string EndMarker(const std::string& name) { return "<!-- end " + name + " -->\n"; }
 
-struct Place {
+struct TextRange {
   std::size_t at;
   std::size_t size;
 };
 
-// Of the text between a table's markers.
-Place Find(const std::filesystem::path& page, const std::string& text, const std::string& name) {
-  const std::string start = Start(name);
+// Returns the range of the text between the markers of a table.
+TextRange FindTable(const std::filesystem::path& page, const std::string& text, const std::string& name) {
+  const std::string start = StartMarker(name);
   const std::size_t found = text.find(start);
-  const std::size_t end = found == std::string::npos ? found : text.find(End(name), found);
-  if (end == std::string::npos) RejectInput(page, "table " + name, "has no place between its markers");
-  if (text.find(start, found + 1) != std::string::npos) RejectInput(page, "table " + name, "has two places");
+  const std::size_t end = found == std::string::npos ? found : text.find(EndMarker(name), found);
+  if (end == std::string::npos) RejectInput(page, "table " + name, "its markers are missing");
+  if (text.find(start, found + 1) != std::string::npos)
+    RejectInput(page, "table " + name, "its markers occur twice");
   return {found + start.size(), end - found - start.size()};
 }
 
@@ -209,13 +216,15 @@
           {"agreement", AgreementTable(model, demands)}};
 }
 
-std::string Marked(const Table& table) { return Start(table.name) + table.text + End(table.name); }
+std::string WithMarkers(const Table& table) {
+  return StartMarker(table.name) + table.text + EndMarker(table.name);
+}
 
 std::string ReplaceTables(const std::filesystem::path& page, std::string text,
                           const std::vector<Table>& tables) {
   for (const Table& table : tables) {
-    const Place place = Find(page, text, table.name);
-    text.replace(place.at, place.size, table.text);
+    const TextRange range = FindTable(page, text, table.name);
+    text.replace(range.at, range.size, table.text);
   }
   return text;
 }
@@ -224,8 +233,8 @@
                                          const std::vector<Table>& tables) {
   std::vector<std::string> differing;
   for (const Table& table : tables) {
-    const Place place = Find(page, text, table.name);
-    if (text.compare(place.at, place.size, table.text) != 0) differing.push_back(table.name);
+    const TextRange range = FindTable(page, text, table.name);
+    if (text.compare(range.at, range.size, table.text) != 0) differing.push_back(table.name);
   }
   return differing;
 }
--- a/scale/capacity_tables.hpp
+++ b/scale/capacity_tables.hpp
@@ -1,4 +1,4 @@
-// The tables of docs/CAPACITY.md, and their places in it.
+// Generates the tables of docs/CAPACITY.md, and finds and replaces them in the page.
 #ifndef MERLINRUN_SCALE_CAPACITY_TABLES_HPP_
 #define MERLINRUN_SCALE_CAPACITY_TABLES_HPP_
 
@@ -12,21 +12,23 @@
 
 struct Table {
   std::string name;
-  std::string text;  // Markdown, with a line end at its end
+  std::string text;  // Markdown, ends with a newline
 };
 
-// slopes, roles, ranking, assumptions and agreement, in this order.
+// Returns the tables slopes, roles, ranking, assumptions and agreement, in this order.
 std::vector<Table> CapacityTables(const CapacityModel& model);
 
-// A page's text with what stands between "<!-- table NAME -->" and "<!-- end NAME -->" replaced. Throws
-// ScenarioError with the page and the table if a table has no such place, or more than one.
+// Returns the text of a page with each table, between "<!-- table NAME -->" and "<!-- end NAME -->",
+// replaced. Throws ScenarioError with the page and the table if the markers of a table are missing or occur
+// more than once.
 std::string ReplaceTables(const std::filesystem::path& page, std::string text,
                           const std::vector<Table>& tables);
 
-// The table between its markers.
-std::string Marked(const Table& table);
+// Returns the table with its markers around it.
+std::string WithMarkers(const Table& table);
 
-// The names of the tables that stand otherwise in the page. Throws ScenarioError as ReplaceTables() does.
+// Returns the names of the tables whose text in the page differs. Throws ScenarioError as ReplaceTables()
+// does.
 std::vector<std::string> DifferingTables(const std::filesystem::path& page, const std::string& text,
                                          const std::vector<Table>& tables);
 
--- a/scale/child.cpp
+++ b/scale/child.cpp
@@ -21,7 +21,7 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr auto kPoll = std::chrono::milliseconds(2);
+constexpr auto kPollInterval = std::chrono::milliseconds(2);
 
 class FileActions {
  public:
@@ -31,7 +31,7 @@
     ::posix_spawn_file_actions_addopen(&actions_, 0, "/dev/null", O_RDONLY, 0);
     ::posix_spawn_file_actions_addopen(&actions_, 1, out.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     ::posix_spawn_file_actions_adddup2(&actions_, 1, 2);
-    // Guards against a child that keeps another one's control connection open.
+    // Otherwise a child would inherit the control connections of the other children and keep them open.
     ::posix_spawn_file_actions_addclosefrom_np(&actions_, 3);
   }
   ~FileActions() { ::posix_spawn_file_actions_destroy(&actions_); }
@@ -43,10 +43,11 @@
   posix_spawn_file_actions_t actions_{};
 };
 
-// Its own group, so that an interrupt at the terminal comes to the owner alone, and signals as at the start.
-class Attributes {
+// Spawn attributes: a process group of its own, so that Ctrl-C at the terminal interrupts only the parent,
+// default signal handling, and no blocked signals.
+class SpawnAttributes {
  public:
-  Attributes() {
+  SpawnAttributes() {
     ::posix_spawnattr_init(&attributes_);
     sigset_t none;
     sigset_t all;
@@ -58,16 +59,16 @@
     ::posix_spawnattr_setflags(&attributes_,
                                POSIX_SPAWN_SETPGROUP | POSIX_SPAWN_SETSIGMASK | POSIX_SPAWN_SETSIGDEF);
   }
-  ~Attributes() { ::posix_spawnattr_destroy(&attributes_); }
-  Attributes(const Attributes&) = delete;
-  Attributes& operator=(const Attributes&) = delete;
+  ~SpawnAttributes() { ::posix_spawnattr_destroy(&attributes_); }
+  SpawnAttributes(const SpawnAttributes&) = delete;
+  SpawnAttributes& operator=(const SpawnAttributes&) = delete;
   const posix_spawnattr_t* get() const { return &attributes_; }
 
  private:
   posix_spawnattr_t attributes_{};
 };
 
-std::vector<char*> Pointers(std::vector<std::string>& texts) {
+std::vector<char*> NullTerminatedPointers(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
   pointers.reserve(texts.size() + 1);
   for (std::string& text : texts) pointers.push_back(text.data());
@@ -75,34 +76,38 @@
   return pointers;
 }
 
-std::vector<std::string> EnvironmentWith(std::vector<std::string> own) {
-  const std::size_t given = own.size();
+std::vector<std::string> MergedEnvironment(std::vector<std::string> variables) {
+  const std::size_t override_count = variables.size();
   for (char** entry = environ; *entry != nullptr; ++entry) {
     const std::string text(*entry);
     const std::string name = text.substr(0, text.find('=') + 1);
-    const auto end = own.begin() + static_cast<std::ptrdiff_t>(given);
-    if (std::none_of(own.begin(), end, [&](const std::string& set) { return set.rfind(name, 0) == 0; }))
-      own.push_back(text);
+    const auto end = variables.begin() + static_cast<std::ptrdiff_t>(override_count);
+    if (std::none_of(variables.begin(), end,
+                     [&](const std::string& variable) { return variable.rfind(name, 0) == 0; }))
+      variables.push_back(text);
   }
-  return own;
+  return variables;
 }
 
 }  // namespace
 
-std::filesystem::path OwnProgram() { return std::filesystem::read_symlink("/proc/self/exe"); }
+std::filesystem::path ExecutablePath() { return std::filesystem::read_symlink("/proc/self/exe"); }
 
-bool TetherTo(pid_t owner) { return ::prctl(PR_SET_PDEATHSIG, SIGKILL) == 0 && ::getppid() == owner; }
+bool DieWithParent(pid_t expected_parent) {
+  return ::prctl(PR_SET_PDEATHSIG, SIGKILL) == 0 && ::getppid() == expected_parent;
+}
 
 Child::Child(const Options& options) {
-  const std::string self = OwnProgram().string();
-  std::vector<std::string> arguments = {self, kTetheredArgument, std::to_string(::getpid()),
+  const std::string self = ExecutablePath().string();
+  std::vector<std::string> arguments = {self, kChildArgument, std::to_string(::getpid()),
                                         options.program.string()};
   arguments.insert(arguments.end(), options.arguments.begin(), options.arguments.end());
-  std::vector<std::string> environment = EnvironmentWith(options.environment);
+  std::vector<std::string> environment = MergedEnvironment(options.environment);
   const FileActions actions(options.log);
-  const Attributes attributes;
-  const int error = ::posix_spawn(&pid_, self.c_str(), actions.get(), attributes.get(),
-                                  Pointers(arguments).data(), Pointers(environment).data());
+  const SpawnAttributes attributes;
+  const int error =
+      ::posix_spawn(&pid_, self.c_str(), actions.get(), attributes.get(),
+                    NullTerminatedPointers(arguments).data(), NullTerminatedPointers(environment).data());
   if (error != 0)
     throw std::runtime_error(options.program.string() +
                              ": cannot be started: " + std::generic_category().message(error));
@@ -119,8 +124,8 @@
   if (!status_) ::kill(pid_, signal);
 }
 
-std::optional<int> Child::Wait(std::chrono::milliseconds most) {
-  const auto end = std::chrono::steady_clock::now() + most;
+std::optional<int> Child::Wait(std::chrono::milliseconds timeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (!status_) {
     int status = 0;
     if (::waitpid(pid_, &status, WNOHANG) == pid_) {
@@ -128,7 +133,7 @@
     } else if (std::chrono::steady_clock::now() >= end) {
       break;
     } else {
-      std::this_thread::sleep_for(kPoll);
+      std::this_thread::sleep_for(kPollInterval);
     }
   }
   return status_;
--- a/scale/child.hpp
+++ b/scale/child.hpp
@@ -1,4 +1,4 @@
-// Processes that this one starts, and ends on every way out.
+// Child processes that never outlive this process.
 #ifndef MERLINRUN_SCALE_CHILD_HPP_
 #define MERLINRUN_SCALE_CHILD_HPP_
 
@@ -13,42 +13,43 @@
 
 namespace merlinrun::scale {
 
-// The first argument of what this program starts itself as, with the owner's pid behind it: see RunAsChild.
-inline constexpr const char* kTetheredArgument = "child-tethered";
+// The first argument when this program is started as a child process of itself; the pid of the process that
+// starts it is the second. See RunAsChild().
+inline constexpr const char* kChildArgument = "child-tethered";
 
-// The file of the running program.
-std::filesystem::path OwnProgram();
+// Returns the path of the running executable.
+std::filesystem::path ExecutablePath();
 
-// Asks the kernel for SIGKILL once the process that started this one ends. False if that one, by its pid, is
-// gone already.
-bool TetherTo(pid_t owner);
+// Asks the kernel to send SIGKILL to this process when its parent dies. Returns false on failure, and if the
+// parent is not `expected_parent`, which means that the expected one has died already.
+bool DieWithParent(pid_t expected_parent);
 
-// A program started as a child, in a process group of its own. It is killed and waited for at the latest when
-// the object ends, and killed by the kernel if this process ends without that. For the latter it is started
-// through OwnProgram(), whose main has to begin with RunAsChild.
+// A program that runs as a child process, in a process group of its own. The destructor kills it and waits
+// for it. If this process dies without running the destructor, the kernel kills the child. For this, the
+// child is started through ExecutablePath(), so main() has to call RunAsChild() first.
 class Child {
  public:
   struct Options {
     std::filesystem::path program;
     std::vector<std::string> arguments;
-    std::vector<std::string> environment;  // NAME=value, before those of this process with other names
-    std::filesystem::path log;             // standard output and error are added to it; empty = /dev/null
+    std::vector<std::string> environment;  // NAME=value; replace variables of this process with the same name
+    std::filesystem::path log;             // standard output and error are appended to it; empty = /dev/null
   };
 
-  // Throws std::runtime_error if it cannot be started. Whether the program itself can be run shows in its
-  // end: status 127.
+  // Throws std::runtime_error if the process cannot be started. If the program cannot be executed, the child
+  // exits with status 127.
   explicit Child(const Options& options);
   ~Child();
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
 
   pid_t pid() const { return pid_; }
-  void Signal(int signal) const;  // nothing, once it has been seen to end
-  // Its wait status, as of waitpid, if it ends within that time.
-  std::optional<int> Wait(std::chrono::milliseconds most);
-  // Of all its threads, in microseconds, since its start; 0 once it has ended.
+  void Signal(int signal) const;  // does nothing after Wait() has returned a status
+  // Waits for the end of the process. Returns its status as from waitpid(), or nothing at the timeout.
+  std::optional<int> Wait(std::chrono::milliseconds timeout);
+  // CPU time of all its threads since its start, in microseconds; 0 after its end.
   std::int64_t cpu_us() const;
-  // Its resident memory; 0 once it has ended.
+  // Its resident memory; 0 after its end.
   std::int64_t rss_bytes() const;
 
  private:
--- a/scale/commands.cpp
+++ b/scale/commands.cpp
@@ -34,21 +34,21 @@
 
 int RunSteps(Arguments& arguments, const std::map<std::string, StepFactory>& kinds) {
   const Scenario scenario = LoadScenario(arguments.scenario, kinds, arguments.steps);
-  CheckNeeds(scenario, ReadMachineLimits());
+  CheckRequirements(scenario, ReadMachineLimits());
   if (access(arguments.run.sidecar.c_str(), X_OK) != 0) {
-    RejectInput(arguments.run.sidecar, "--sidecar", "is no program that can be run");
+    RejectInput(arguments.run.sidecar, "--sidecar", "there is no executable file at this path");
   }
   return RunScenario(scenario, arguments.run);
 }
 
-int FitRuns(const Arguments& arguments) {
+int ShowFit(const Arguments& arguments) {
   const std::vector<FittedRun> runs = ReadRuns(arguments.folders);
   if (!arguments.json.empty()) WriteFile(arguments.json, FitJson(runs));
   std::fputs(FitTable(runs).c_str(), stdout);
   return kDone;
 }
 
-int TellCapacity(const Arguments& arguments) {
+int ShowCapacity(const Arguments& arguments) {
   if (!arguments.page.empty() && !arguments.write && !arguments.check) {
     RejectInput(arguments.page, "--page", "needs --write or --check");
   }
@@ -57,7 +57,7 @@
   const std::vector<FittedRun> runs = ReadRuns(arguments.folders);
   const std::vector<Table> tables = CapacityTables(CapacityModel(targets, roles, runs));
   if (arguments.page.empty()) {
-    for (const Table& table : tables) std::printf("%s\n", Marked(table).c_str());
+    for (const Table& table : tables) std::printf("%s\n", WithMarkers(table).c_str());
     return kDone;
   }
   const std::string page = ReadText(arguments.page);
@@ -73,8 +73,8 @@
   return differing.empty() ? kDone : kFailed;
 }
 
-// One line, whatever the library says on several.
-int TellUsage(const CLI::App& app, const CLI::ParseError& error) {
+// Reports a usage error in one line; the library's message may have several.
+int ReportUsageError(const CLI::App& app, const CLI::ParseError& error) {
   if (error.get_exit_code() == 0) return app.exit(error) == 0 ? kDone : kFailed;
   std::fprintf(stderr, "rookhub_scale: arguments: %s\n", OneLine(error.what()).c_str());
   return kBadInput;
@@ -86,36 +86,40 @@
 }
 
 CLI::App* AddRun(CLI::App& app, Arguments& arguments) {
-  CLI::App* run = app.add_subcommand("run", "Plays a scenario and leaves DIR/result.json");
+  CLI::App* run = app.add_subcommand("run", "Runs a scenario and writes DIR/result.json");
   run->add_option("scenario", arguments.scenario, "The scenario, a TOML file")->required();
-  run->add_option("--out", arguments.run.out, "The folder for the result, made if it is not there")
+  run->add_option("--out", arguments.run.out, "The folder for the result, created if it does not exist")
       ->required();
-  run->add_option("--steps", arguments.steps, "Only the steps of these kinds");
-  run->add_option("--sidecar", arguments.run.sidecar, "The sidecar; by default the one beside this program");
-  run->add_option("--relay", arguments.run.relay, "The fan-out tier; by default the one beside this program");
+  run->add_option("--steps", arguments.steps, "Run only the steps of these kinds");
+  run->add_option("--sidecar", arguments.run.sidecar,
+                  "The sidecar's program; by default the one in this program's folder");
+  run->add_option("--relay", arguments.run.relay,
+                  "The relay's program; by default the one in this program's folder");
   return run;
 }
 
 CLI::App* AddFit(CLI::App& app, Arguments& arguments) {
-  CLI::App* fit = app.add_subcommand("fit", "Shows the slopes of results, with how far they are from a line");
+  CLI::App* fit = app.add_subcommand("fit", "Shows the slopes of results, and how well a line fits them");
   fit->add_option("folders", arguments.folders, "Folders with a result.json each")->required();
-  fit->add_option("--json", arguments.json, "A file for the same as JSON");
+  fit->add_option("--json", arguments.json, "A file to write the same data to, as JSON");
   return fit;
 }
 
 CLI::App* AddCapacity(CLI::App& app, Arguments& arguments) {
-  CLI::App* capacity =
-      app.add_subcommand("capacity", "Shows what the target asks of each role, by the results");
+  CLI::App* capacity = app.add_subcommand(
+      "capacity", "Shows the demand on each role at the target, computed from the results");
   capacity
-      ->add_option("folders", arguments.folders, "Folders with a result.json each, the one to rest on first")
+      ->add_option("folders", arguments.folders,
+                   "Folders with a result.json each; the first one has precedence")
       ->required();
   capacity->add_option("--targets", arguments.targets, "The target: figures, budgets, assumptions");
-  capacity->add_option("--roles", arguments.roles, "The formulas of each role's demand");
-  CLI::Option* page = capacity->add_option("--page", arguments.page, "A page that holds the tables");
+  capacity->add_option("--roles", arguments.roles, "The formulas for the demand on each role");
+  CLI::Option* page = capacity->add_option("--page", arguments.page, "A page that contains the tables");
   CLI::Option* write =
-      capacity->add_flag("--write", arguments.write, "Put the tables into the page")->needs(page);
+      capacity->add_flag("--write", arguments.write, "Replace the tables in the page")->needs(page);
   CLI::Option* check =
-      capacity->add_flag("--check", arguments.check, "Status 1 if the page holds other tables")->needs(page);
+      capacity->add_flag("--check", arguments.check, "Exit with status 1 if the tables in the page differ")
+          ->needs(page);
   write->excludes(check);
   return capacity;
 }
@@ -129,7 +133,7 @@
   arguments.run.relay = ProgramFolder() / "rookhub_relay";
   arguments.run.should_stop = should_stop;
 
-  CLI::App app("Measures the sidecar, discovery and the fan-out tier at sizes that one machine can hold.",
+  CLI::App app("Measures the sidecar, discovery and the relay at sizes that one machine can run.",
                "rookhub_scale");
   app.require_subcommand(1);
   CLI::App* run = AddRun(app, arguments);
@@ -139,9 +143,9 @@
   try {
     app.parse(argc, argv);
     if (run->parsed()) return RunSteps(arguments, kinds);
-    return fit->parsed() ? FitRuns(arguments) : TellCapacity(arguments);
+    return fit->parsed() ? ShowFit(arguments) : ShowCapacity(arguments);
   } catch (const CLI::ParseError& error) {
-    return TellUsage(app, error);
+    return ReportUsageError(app, error);
   } catch (const ScenarioError& error) {
     std::fprintf(stderr, "rookhub_scale: %s\n", error.what());
     return kBadInput;
--- a/scale/commands.hpp
+++ b/scale/commands.hpp
@@ -10,8 +10,8 @@
 
 namespace merlinrun::scale {
 
-// Returns the exit status. Whatever is wrong is told in one line on standard error. `kinds` and `should_stop`
-// stand in for StepKinds() and for the signals in tests.
+// Runs the program and returns its exit status. Errors are reported in one line on standard error. `kinds`
+// and `should_stop` are parameters so that tests can replace StepKinds() and the signal handlers.
 int RunCommand(int argc, const char* const* argv, const std::map<std::string, StepFactory>& kinds,
                const std::function<bool()>& should_stop);
 
--- a/scale/control.cpp
+++ b/scale/control.cpp
@@ -19,9 +19,9 @@
 using Tcp = asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-constexpr auto kComesUp = std::chrono::seconds(60);
+constexpr auto kStartupTimeout = std::chrono::seconds(60);
 
-Micros Time(const timeval& time) {
+Micros ToMicros(const timeval& time) {
   return static_cast<Micros>(time.tv_sec) * 1'000'000 + static_cast<Micros>(time.tv_usec);
 }
 
@@ -36,17 +36,17 @@
 Part::Part(const char* kind, const std::filesystem::path& log)
     : kind_(kind), acceptor_(io_, Tcp::endpoint(asio::ip::address_v4::loopback(), 0)), socket_(io_) {
   Child::Options options;
-  options.program = OwnProgram();
+  options.program = ExecutablePath();
   options.arguments = {kind, std::to_string(acceptor_.local_endpoint().port())};
   options.log = log;
   child_ = std::make_unique<Child>(options);
-  AwaitInput(acceptor_.native_handle(), std::chrono::steady_clock::now() + kComesUp);
+  AwaitInput(acceptor_.native_handle(), std::chrono::steady_clock::now() + kStartupTimeout);
   acceptor_.accept(socket_);
   socket_.set_option(Tcp::no_delay(true));
   acceptor_.close();
 }
 
-// In slices, to see soon that the part has ended.
+// Waits in short intervals, to notice soon if the process has exited.
 void Part::AwaitInput(int descriptor, std::chrono::steady_clock::time_point end) const {
   for (;;) {
     pollfd wait{descriptor, POLLIN, 0};
@@ -54,8 +54,8 @@
     if (ready > 0) return;
     if (ready < 0 && errno != EINTR) throw std::runtime_error(kind_ + ": poll failed");
     if (child_->Wait(std::chrono::milliseconds(0)))
-      throw std::runtime_error(kind_ + ": has ended, see its log");
-    if (std::chrono::steady_clock::now() >= end) throw std::runtime_error(kind_ + ": does not answer");
+      throw std::runtime_error(kind_ + ": process has exited, see its log");
+    if (std::chrono::steady_clock::now() >= end) throw std::runtime_error(kind_ + ": no reply in time");
   }
 }
 
@@ -65,23 +65,23 @@
   if (error) throw std::runtime_error(kind_ + ": " + error.message());
 }
 
-nlohmann::json Part::Receive(std::chrono::milliseconds most) {
-  const auto end = std::chrono::steady_clock::now() + most;
-  std::array<char, 65536> piece;
-  std::size_t seen = 0;
-  std::size_t line = std::string::npos;
-  while ((line = input_.find('\n', seen)) == std::string::npos) {
-    seen = input_.size();
+nlohmann::json Part::Receive(std::chrono::milliseconds timeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
+  std::array<char, 65536> chunk;
+  std::size_t searched = 0;
+  std::size_t line_end = std::string::npos;
+  while ((line_end = input_.find('\n', searched)) == std::string::npos) {
+    searched = input_.size();
     AwaitInput(socket_.native_handle(), end);
     ErrorCode error;
-    const std::size_t n = socket_.read_some(asio::buffer(piece), error);
+    const std::size_t n = socket_.read_some(asio::buffer(chunk), error);
     if (error) throw std::runtime_error(kind_ + ": " + error.message() + ", see its log");
-    input_.append(piece.data(), n);
+    input_.append(chunk.data(), n);
   }
-  nlohmann::json answer = nlohmann::json::parse(input_.substr(0, line));
-  input_.erase(0, line + 1);
-  if (answer.contains("error")) throw std::runtime_error(kind_ + ": " + answer["error"].get<std::string>());
-  return answer;
+  nlohmann::json reply = nlohmann::json::parse(input_.substr(0, line_end));
+  input_.erase(0, line_end + 1);
+  if (reply.contains("error")) throw std::runtime_error(kind_ + ": " + reply["error"].get<std::string>());
+  return reply;
 }
 
 CommandLoop::CommandLoop(asio::io_context& io, std::uint16_t port, Handler handler)
@@ -95,15 +95,15 @@
   asio::async_read_until(socket_, input_, '\n', [this](ErrorCode error, std::size_t) {
     if (error) return io_.stop();
     std::istream stream(&input_);
-    std::string line;
-    std::getline(stream, line);
-    nlohmann::json answer;
+    std::string line_end;
+    std::getline(stream, line_end);
+    nlohmann::json reply;
     try {
-      answer = handler_(nlohmann::json::parse(line));
-    } catch (const std::exception& wrong) {
-      answer = {{"error", wrong.what()}};
+      reply = handler_(nlohmann::json::parse(line_end));
+    } catch (const std::exception& exception) {
+      reply = {{"error", exception.what()}};
     }
-    asio::write(socket_, asio::buffer(answer.dump() + "\n"), error);
+    asio::write(socket_, asio::buffer(reply.dump() + "\n"), error);
     if (error) return io_.stop();
     Read();
   });
@@ -117,7 +117,7 @@
   std::int64_t size = 0;
   std::int64_t resident = 0;
   file >> size >> resident;
-  return {{"cpu_us", Time(usage.ru_utime) + Time(usage.ru_stime)},
+  return {{"cpu_us", ToMicros(usage.ru_utime) + ToMicros(usage.ru_stime)},
           {"rss_bytes", resident * ::sysconf(_SC_PAGESIZE)}};
 }
 
--- a/scale/control.hpp
+++ b/scale/control.hpp
@@ -1,4 +1,5 @@
-// The line between a run and its child processes: JSON objects, one a line, an answer for each command.
+// The control connection between a run and its worker processes. Commands and replies are JSON objects, one
+// per line; each command gets one reply.
 #ifndef MERLINRUN_SCALE_CONTROL_HPP_
 #define MERLINRUN_SCALE_CONTROL_HPP_
 
@@ -24,19 +25,19 @@
 inline constexpr const char* kFleetProcess = "hollow-fleet";
 inline constexpr const char* kServerProcess = "stand-in-servers";
 
-// One clock for all processes of the machine, in microseconds.
+// Returns the time of the steady clock in microseconds. All processes of the machine share this clock.
 Micros SteadyNow();
 
-// One of this program's own parts, in a process of its own, that does what it is told.
+// A worker process: a part of this program that runs in a child process and executes commands.
 class Part {
  public:
-  // Throws std::runtime_error if it cannot be started or does not come up.
+  // Throws std::runtime_error if the process cannot be started or does not connect in time.
   Part(const char* kind, const std::filesystem::path& log);
 
-  // Sends a command, and takes the answer to the earliest that is unanswered. Both throw std::runtime_error:
-  // if the part has ended, does not answer in time, or says that it could not do it.
+  // Send() sends a command, and Receive() returns the reply to the earliest command without one. Both throw
+  // std::runtime_error: if the process has exited, does not reply in time, or replies with an error.
   void Send(const nlohmann::json& command);
-  nlohmann::json Receive(std::chrono::milliseconds most = std::chrono::minutes(2));
+  nlohmann::json Receive(std::chrono::milliseconds timeout = std::chrono::minutes(2));
   nlohmann::json Ask(const nlohmann::json& command) {
     Send(command);
     return Receive();
@@ -54,7 +55,8 @@
   std::unique_ptr<Child> child_;
 };
 
-// The part's side: answers commands until the run ends the line, and stops the loop then.
+// The side of the worker process: replies to commands until the run closes the connection, then stops the
+// I/O loop.
 class CommandLoop {
  public:
   using Handler = std::function<nlohmann::json(const nlohmann::json& command)>;
@@ -69,7 +71,8 @@
   const Handler handler_;
 };
 
-// What every part answers of itself: "cpu_us" since its start, and "rss_bytes".
+// Returns the resource usage of this process for a reply: "cpu_us" since its start, and "rss_bytes". With
+// `trim`, free heap memory is returned to the system first.
 nlohmann::json OwnUsage(bool trim);
 
 }  // namespace merlinrun::scale
--- a/scale/fit.cpp
+++ b/scale/fit.cpp
@@ -22,14 +22,14 @@
 Line LeastSquares(const std::vector<double>& x, const std::vector<double>& y) {
   acc::accumulator_set<double, acc::stats<acc::tag::mean, acc::tag::variance,
                                           acc::tag::covariance<double, acc::tag::covariate1>>>
-      sums;
+      statistics;
   double mean_y = 0;
   for (std::size_t i = 0; i < x.size(); ++i) {
-    sums(x[i], acc::covariate1 = y[i]);
+    statistics(x[i], acc::covariate1 = y[i]);
     mean_y += y[i] / static_cast<double>(x.size());
   }
-  const double slope = acc::covariance(sums) / acc::variance(sums);
-  return {slope, mean_y - slope * acc::mean(sums)};
+  const double slope = acc::covariance(statistics) / acc::variance(statistics);
+  return {slope, mean_y - slope * acc::mean(statistics)};
 }
 
 double TheilSen(const std::vector<double>& x, const std::vector<double>& y) {
@@ -51,7 +51,7 @@
   return LeastSquares(log_x, log_y).slope;
 }
 
-// Over the median; over the largest one where a median is 0.
+// Residuals are relative to the median of their size, or to the largest median where it is 0.
 void SetResiduals(Series& series) {
   double largest = 0;
   for (const double y : series.medians) largest = std::max(largest, std::abs(y));
@@ -59,10 +59,11 @@
   double squares = 0;
   for (std::size_t i = 0; i < series.sizes.size(); ++i) {
     const double y = series.medians[i];
-    const double off = std::abs(y - series.line->intercept - series.line->slope * series.sizes[i]) /
-                       (y == 0 ? largest : std::abs(y));
-    squares += off * off;
-    series.residual_largest = std::max(series.residual_largest, off);
+    const double relative_error =
+        std::abs(y - series.line->intercept - series.line->slope * series.sizes[i]) /
+        (y == 0 ? largest : std::abs(y));
+    squares += relative_error * relative_error;
+    series.residual_largest = std::max(series.residual_largest, relative_error);
   }
   series.residual_rms = std::sqrt(squares / static_cast<double>(series.sizes.size()));
 }
@@ -73,12 +74,12 @@
     const double median = Median(values);
     series.sizes.push_back(size);
     series.medians.push_back(median);
-    const auto [least, most] = std::minmax_element(values.begin(), values.end());
+    const auto [min, max] = std::minmax_element(values.begin(), values.end());
     if (values.size() > 1 && median != 0) {
-      series.spread = std::max(series.spread.value_or(0), (*most - *least) / std::abs(median));
+      series.spread = std::max(series.spread.value_or(0), (*max - *min) / std::abs(median));
     }
   }
-  if (series.sizes.size() < kFewestSizes) return series;
+  if (series.sizes.size() < kMinSizes) return series;
   series.line = LeastSquares(series.sizes, series.medians);
   series.theil_sen = TheilSen(series.sizes, series.medians);
   SetResiduals(series);
@@ -99,7 +100,7 @@
   std::string text = name.measure + "." + name.figure + "." + name.condition;
   std::string others;
   for (const auto& [other, value] : name.others)
-    others += (others.empty() ? "" : ",") + other + "=" + Short(value);
+    others += (others.empty() ? "" : ",") + other + "=" + FormatNumber(value);
   return others.empty() ? text : text + "[" + others + "]";
 }
 
@@ -108,19 +109,19 @@
 }
 
 std::map<SeriesName, Series> FitAll(const std::vector<Sample>& samples) {
-  std::map<SeriesName, std::map<double, std::vector<double>>> readings;
+  std::map<SeriesName, std::map<double, std::vector<double>>> values_by_size;
   for (const Sample& sample : samples) {
     for (const auto& [condition, size] : sample.conditions) {
       SeriesName name{sample.measure, "", condition, sample.conditions};
       name.others.erase(condition);
       for (const auto& [figure, value] : sample.figures) {
         name.figure = figure;
-        readings[name][size].push_back(value);
+        values_by_size[name][size].push_back(value);
       }
     }
   }
   std::map<SeriesName, Series> fitted;
-  for (const auto& [name, repeats] : readings) {
+  for (const auto& [name, repeats] : values_by_size) {
     if (repeats.size() > 1 || name.others.empty()) fitted[name] = Fit(repeats);
   }
   return fitted;
@@ -130,12 +131,12 @@
   std::vector<FittedRun> runs;
   for (const std::filesystem::path& folder : folders) {
     Result result = ReadResult(folder);
-    // "DIR/" has no file name of its own.
-    const std::filesystem::path named = folder.has_filename() ? folder : folder.parent_path();
-    const std::string name = named.filename().string();
+    // With a trailing slash, as in "DIR/", the path has no file name.
+    const std::filesystem::path path = folder.has_filename() ? folder : folder.parent_path();
+    const std::string name = path.filename().string();
     for (const FittedRun& other : runs) {
-      // Tables tell runs apart by it.
-      if (other.name == name) RejectInput(folder, "folder", "another one is named " + name + " too");
+      // Tables identify runs by the names of their folders.
+      if (other.name == name) RejectInput(folder, "folder", "another folder is named " + name + " too");
     }
     std::map<SeriesName, Series> series = FitAll(result.samples);
     runs.push_back({name, std::move(result), std::move(series)});
--- a/scale/fit.hpp
+++ b/scale/fit.hpp
@@ -1,4 +1,4 @@
-// Straight lines through what was measured at several sizes, with how far they are from it.
+// Fits straight lines through figures that were measured at several sizes, and describes how well they fit.
 #ifndef MERLINRUN_SCALE_FIT_HPP_
 #define MERLINRUN_SCALE_FIT_HPP_
 
@@ -14,9 +14,10 @@
 
 namespace merlinrun::scale {
 
-inline constexpr std::size_t kFewestSizes = 4;  // for a slope
+inline constexpr std::size_t kMinSizes = 4;  // fewer sizes give no slope
 
-// A figure of a measure, with the one condition that varies and the others as they stood.
+// Identifies a series: a figure of a measure, the condition that varies (the size), and the fixed values of
+// the other conditions.
 struct SeriesName {
   std::string measure;
   std::string figure;
@@ -26,55 +27,55 @@
   auto operator<=>(const SeriesName&) const = default;
 };
 
-// "list_size.memory_bytes.listed", and "[relays=2]" after it if other conditions stood.
+// "list_size.memory_bytes.listed", followed by for example "[relays=2]" if there are other conditions.
 std::string ToString(const SeriesName& name);
 
 struct Line {
-  double slope = 0;  // figure for one more of the condition
+  double slope = 0;  // increase of the figure per unit of the condition
   double intercept = 0;
 };
 
 struct Series {
   std::vector<double> sizes;    // ascending
-  std::vector<double> medians;  // of the repeats at each size
-  // Largest less smallest repeat over the size of the median, at the size where that is greatest; none if no
-  // size was measured twice.
+  std::vector<double> medians;  // of the repeats, for each size
+  // Difference of the largest and smallest repeat, relative to the absolute value of their median, at the
+  // size where this is greatest; none if no size was measured twice.
   std::optional<double> spread;
-  // What follows is there from kFewestSizes sizes on.
+  // The following members are set only if there are at least kMinSizes sizes.
   std::optional<Line> line;     // least squares through the medians
   double theil_sen = 0;         // median of the slopes between all pairs of medians
-  double residual_rms = 0;      // of (median - line) over the median
-  double residual_largest = 0;  // of the same
-  // Of a power law through the medians, 1 for a straight line through the origin; none if a median is not
-  // above 0.
+  double residual_rms = 0;      // root mean square of (median - line) / median
+  double residual_largest = 0;  // largest absolute value of the same
+  // Exponent of a power law through the medians; 1 for a straight line through the origin. None if a size or
+  // a median is not above 0.
   std::optional<double> exponent;
-  // The same of the increase over the smallest size, 1 for any straight line; none if the figure does not
-  // grow.
+  // The same for the increase over the smallest size; 1 for any rising straight line. None if a larger size
+  // does not have a larger median than the smallest size.
   std::optional<double> increase_exponent;
 
-  bool TwoDecades() const { return sizes.front() > 0 && sizes.back() >= 100 * sizes.front(); }
+  bool SpansTwoDecades() const { return sizes.front() > 0 && sizes.back() >= 100 * sizes.front(); }
 };
 
-// The middle value, or the mean of the middle two. Not for an empty list.
+// Returns the middle value, or the mean of the two middle values. `values` must not be empty.
 double Median(std::vector<double> values);
 
-// Series for each condition that was varied, and for the only condition of a measure.
+// Returns a series for each condition that was varied, and for the condition of a measure that has only one.
 std::map<SeriesName, Series> FitAll(const std::vector<Sample>& samples);
 
 struct FittedRun {
-  std::string name;  // its folder's
+  std::string name;  // name of its folder
   Result result;
   std::map<SeriesName, Series> series;
 };
 
-// Throws ScenarioError for a folder without a whole result, and for two of one name.
+// Throws ScenarioError for a folder without a complete result, and for two folders of the same name.
 std::vector<FittedRun> ReadRuns(const std::vector<std::filesystem::path>& folders);
 
-// Whether the slope of a later run differs from the first one's by no more than the first one's spread; none
-// if one has no slope, or the first one no spread.
+// Returns whether the slopes of both runs differ by no more than the spread of the first run. Returns nothing
+// if one of them has no slope, or the first one has no spread.
 std::optional<bool> WithinSpread(const Series& first, const Series& later);
 
-// All series of all runs as a table for people, and as JSON.
+// Return all series of all runs, as a text for people and as JSON.
 std::string FitTable(const std::vector<FittedRun>& runs);
 std::string FitJson(const std::vector<FittedRun>& runs);
 
--- a/scale/fit_report.cpp
+++ b/scale/fit_report.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-std::set<SeriesName> AllNames(const std::vector<FittedRun>& runs) {
+std::set<SeriesName> AllSeriesNames(const std::vector<FittedRun>& runs) {
   std::set<SeriesName> names;
   for (const FittedRun& run : runs) {
     for (const auto& [name, series] : run.series) names.insert(name);
@@ -20,40 +20,42 @@
   return names;
 }
 
-std::string Sizes(const Series& series) {
-  std::string text = std::to_string(series.sizes.size()) + " sizes " + Short(series.sizes.front()) + ".." +
-                     Short(series.sizes.back());
-  return text + (series.TwoDecades() ? ", two decades" : ", under two decades");
+std::string SizesText(const Series& series) {
+  std::string text = std::to_string(series.sizes.size()) + " sizes " + FormatNumber(series.sizes.front()) +
+                     ".." + FormatNumber(series.sizes.back());
+  return text + (series.SpansTwoDecades() ? ", two decades" : ", under two decades");
 }
 
-void ShowSeries(std::ostream& out, const std::string& run, const Series& series) {
-  out << "  " << run << ": " << Sizes(series);
+void AppendSeries(std::ostream& out, const std::string& run, const Series& series) {
+  out << "  " << run << ": " << SizesText(series);
   if (series.line) {
-    out << "; slope " << Short(series.line->slope) << ", intercept " << Short(series.line->intercept)
-        << ", Theil-Sen " << Short(series.theil_sen) << "; residual rms " << Percent(series.residual_rms)
-        << ", largest " << Percent(series.residual_largest) << "; exponent " << ShortOrDash(series.exponent)
-        << ", of the increase " << ShortOrDash(series.increase_exponent);
+    out << "; slope " << FormatNumber(series.line->slope) << ", intercept "
+        << FormatNumber(series.line->intercept) << ", Theil-Sen " << FormatNumber(series.theil_sen)
+        << "; residual rms " << FormatPercent(series.residual_rms) << ", largest "
+        << FormatPercent(series.residual_largest) << "; exponent " << FormatNumberOrDash(series.exponent)
+        << ", of the increase " << FormatNumberOrDash(series.increase_exponent);
   } else {
     out << "; too few sizes";
   }
-  out << "; spread of repeats " << Percent(series.spread) << "\n";
+  out << "; spread of repeats " << FormatPercent(series.spread) << "\n";
 }
 
-// How a later run's slope stands to the first one's.
-void Compare(std::ostream& out, const std::string& run, const Series& first, const Series& later) {
+// Compares the slope of a later run with that of the first run.
+void AppendComparison(std::ostream& out, const std::string& run, const Series& first, const Series& later) {
   if (!first.line || !later.line) return;
   const std::optional<bool> within = WithinSpread(first, later);
   out << "  " << run << " to the first: ";
   if (first.line->slope == 0) {
     out << "no ratio, the first slope is 0";
   } else {
-    out << "ratio " << Short(later.line->slope / first.line->slope);
+    out << "ratio " << FormatNumber(later.line->slope / first.line->slope);
   }
   out << (!within ? ", no spread stated" : *within ? ", within the spread" : ", OUTSIDE the spread") << "\n";
 }
 
 json ToJson(const Series& series) {
-  json entry = {{"sizes", series.sizes}, {"medians", series.medians}, {"two_decades", series.TwoDecades()}};
+  json entry = {
+      {"sizes", series.sizes}, {"medians", series.medians}, {"two_decades", series.SpansTwoDecades()}};
   if (series.spread) entry["spread"] = *series.spread;
   if (!series.line) {
     entry["slope"] = "too few sizes";
@@ -71,7 +73,7 @@
 
 }  // namespace
 
-std::string Short(double value) {
+std::string FormatNumber(double value) {
   std::ostringstream out;
   if (std::abs(value) >= 1000 && std::abs(value) < 1e9) {
     out << std::fixed;
@@ -83,9 +85,9 @@
   return out.str() == "-0" ? "0" : out.str();
 }
 
-std::string ShortOrDash(std::optional<double> value) { return value ? Short(*value) : "-"; }
+std::string FormatNumberOrDash(std::optional<double> value) { return value ? FormatNumber(*value) : "-"; }
 
-std::string Percent(std::optional<double> share) {
+std::string FormatPercent(std::optional<double> share) {
   if (!share) return "-";
   std::ostringstream out;
   out.precision(1);
@@ -100,14 +102,14 @@
     out << run.name << " is partial:\n";
     for (const std::string& reason : run.result.reasons) out << "  " << reason << "\n";
   }
-  for (const SeriesName& name : AllNames(runs)) {
+  for (const SeriesName& name : AllSeriesNames(runs)) {
     out << ToString(name) << "\n";
     const Series* first = nullptr;
     for (const FittedRun& run : runs) {
       const auto found = run.series.find(name);
       if (found == run.series.end()) continue;
-      ShowSeries(out, run.name, found->second);
-      if (first != nullptr) Compare(out, run.name, *first, found->second);
+      AppendSeries(out, run.name, found->second);
+      if (first != nullptr) AppendComparison(out, run.name, *first, found->second);
       if (first == nullptr) first = &found->second;
     }
   }
@@ -116,7 +118,7 @@
 
 std::string FitJson(const std::vector<FittedRun>& runs) {
   json all = json::object();
-  for (const SeriesName& name : AllNames(runs)) {
+  for (const SeriesName& name : AllSeriesNames(runs)) {
     json entries = json::array();
     const Series* first = nullptr;
     for (const FittedRun& run : runs) {
--- a/scale/formula.cpp
+++ b/scale/formula.cpp
@@ -9,62 +9,63 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr int kDeepest = 100;  // parentheses in one another
+constexpr int kMaxDepth = 100;  // nested expressions; prevents a stack overflow in the parser
 
 bool IsNameStart(char c) { return std::isalpha(static_cast<unsigned char>(c)) != 0 || c == '_'; }
 bool IsNamePart(char c) {
   return IsNameStart(c) || std::isdigit(static_cast<unsigned char>(c)) != 0 || c == '.';
 }
 
-// Recursive descent: sum, product, factor.
+// A recursive descent parser with the levels sum, product and factor. It evaluates while it parses.
 class Parser {
  public:
   Parser(std::string_view text, const NameValue& value) : text_(text), value_(value) {}
 
-  double Whole() {
-    const double value = Sum();
-    if (Next() != '\0') Fail("unexpected '" + std::string(1, text_[at_]) + "'");
+  double ParseAll() {
+    const double value = ParseSum();
+    if (Peek() != '\0') Fail("unexpected '" + std::string(1, text_[at_]) + "'");
     return value;
   }
 
  private:
   [[noreturn]] static void Fail(const std::string& reason) { throw FormulaError(reason); }
 
-  char Next() {
+  // Skips whitespace and returns the next character, or 0 at the end of the text.
+  char Peek() {
     while (at_ < text_.size() && std::isspace(static_cast<unsigned char>(text_[at_])) != 0) ++at_;
     return at_ < text_.size() ? text_[at_] : '\0';
   }
 
-  bool Take(char c) {
-    if (Next() != c) return false;
+  bool Consume(char c) {
+    if (Peek() != c) return false;
     ++at_;
     return true;
   }
 
   void Expect(char c) {
-    if (!Take(c)) Fail(std::string("a '") + c + "' is missing");
+    if (!Consume(c)) Fail(std::string("a '") + c + "' is missing");
   }
 
-  double Sum() {
-    double value = Product();
+  double ParseSum() {
+    double value = ParseProduct();
     for (;;) {
-      if (Take('+')) {
-        value += Product();
-      } else if (Take('-')) {
-        value -= Product();
+      if (Consume('+')) {
+        value += ParseProduct();
+      } else if (Consume('-')) {
+        value -= ParseProduct();
       } else {
         return value;
       }
     }
   }
 
-  double Product() {
-    double value = Factor();
+  double ParseProduct() {
+    double value = ParseFactor();
     for (;;) {
-      if (Take('*')) {
-        value *= Factor();
-      } else if (Take('/')) {
-        const double divisor = Factor();
+      if (Consume('*')) {
+        value *= ParseFactor();
+      } else if (Consume('/')) {
+        const double divisor = ParseFactor();
         if (divisor == 0) Fail("division by 0");
         value /= divisor;
       } else {
@@ -73,26 +74,26 @@
     }
   }
 
-  double Factor() {
-    if (++depth_ > kDeepest) Fail("too deep");
-    const double value = Unguarded();
+  double ParseFactor() {
+    if (++depth_ > kMaxDepth) Fail("is nested too deeply");
+    const double value = ParsePrimary();
     --depth_;
     return value;
   }
 
-  double Unguarded() {
-    const char c = Next();
-    if (Take('-')) return -Factor();
-    if (Take('(')) {
-      const double value = Sum();
+  double ParsePrimary() {
+    const char c = Peek();
+    if (Consume('-')) return -ParseFactor();
+    if (Consume('(')) {
+      const double value = ParseSum();
       Expect(')');
       return value;
     }
-    if (IsNameStart(c)) return Named();
-    return Literal();
+    if (IsNameStart(c)) return ParseName();
+    return ParseNumber();
   }
 
-  double Literal() {
+  double ParseNumber() {
     double value = 0;
     const auto [end, error] = std::from_chars(text_.data() + at_, text_.data() + text_.size(), value);
     if (error != std::errc()) Fail("a value is missing");
@@ -100,7 +101,7 @@
     return value;
   }
 
-  double Named() {
+  double ParseName() {
     const std::size_t start = at_;
     while (at_ < text_.size() && IsNamePart(text_[at_])) ++at_;
     if (at_ < text_.size() && text_[at_] == '[') {
@@ -109,13 +110,13 @@
       ++at_;
     }
     const std::string name(text_.substr(start, at_ - start));
-    if (!Take('(')) return value_(name, std::nullopt);
-    double value = Sum();
+    if (!Consume('(')) return value_(name, std::nullopt);
+    double value = ParseSum();
     if (name != "min" && name != "max") {
       Expect(')');
       return value_(name, value);
     }
-    while (Take(',')) value = name == "min" ? std::min(value, Sum()) : std::max(value, Sum());
+    while (Consume(',')) value = name == "min" ? std::min(value, ParseSum()) : std::max(value, ParseSum());
     Expect(')');
     return value;
   }
@@ -129,7 +130,7 @@
 }  // namespace
 
 double Evaluate(const std::string& formula, const NameValue& value) {
-  const double result = Parser(formula, value).Whole();
+  const double result = Parser(formula, value).ParseAll();
   if (!std::isfinite(result)) throw FormulaError("is not a finite number");
   return result;
 }
--- a/scale/latency.hpp
+++ b/scale/latency.hpp
@@ -1,5 +1,5 @@
-// Latencies as a histogram of constant relative resolution, so that a high quantile costs no list of
-// readings.
+// A histogram of latencies with constant relative resolution, so that high quantiles need no list of all
+// samples.
 #ifndef MERLINRUN_SCALE_LATENCY_HPP_
 #define MERLINRUN_SCALE_LATENCY_HPP_
 
@@ -16,14 +16,14 @@
  public:
   LatencyHistogram();
 
-  // What lies outside 1 us to 1000 s counts as the nearest of these.
+  // Latencies below 1 us or above 1000 s are counted as these limits.
   void Add(std::chrono::nanoseconds latency);
   LatencyHistogram& operator+=(const LatencyHistogram& other);
   std::uint64_t count() const { return count_; }
-  // Milliseconds below or at which this share (0 to 1) of the latencies lies, to 0.5%; not a number if there
-  // are none.
-  double QuantileMs(double share) const;
-  double MeanMs() const;  // exact; not a number if there are none
+  // Returns the quantile (0 to 1) of the latencies in milliseconds, with a relative error of 0.5%; NaN if the
+  // histogram is empty.
+  double QuantileMs(double quantile) const;
+  double MeanMs() const;  // exact; NaN if the histogram is empty
 
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
--- a/scale/loop.hpp
+++ b/scale/loop.hpp
@@ -1,4 +1,4 @@
-// Runs a step's loop for a time, or until something has come about.
+// Runs a step's I/O loop for some time, or until a condition holds.
 #ifndef MERLINRUN_SCALE_LOOP_HPP_
 #define MERLINRUN_SCALE_LOOP_HPP_
 
@@ -8,10 +8,10 @@
 
 namespace merlinrun::scale {
 
-// False if `done` does not hold within `most`.
+// Runs the loop until `done` returns true. Returns false if that takes longer than `timeout`.
 inline bool RunUntil(boost::asio::io_context& io, const std::function<bool()>& done,
-                     std::chrono::nanoseconds most) {
-  const auto end = std::chrono::steady_clock::now() + most;
+                     std::chrono::nanoseconds timeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (!done()) {
     if (std::chrono::steady_clock::now() >= end) return false;
     if (io.stopped()) io.restart();
@@ -20,9 +20,9 @@
   return true;
 }
 
-inline void RunFor(boost::asio::io_context& io, std::chrono::nanoseconds time) {
+inline void RunFor(boost::asio::io_context& io, std::chrono::nanoseconds duration) {
   RunUntil(
-      io, [] { return false; }, time);
+      io, [] { return false; }, duration);
 }
 
 }  // namespace merlinrun::scale
--- a/scale/machine.cpp
+++ b/scale/machine.cpp
@@ -14,9 +14,9 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr std::size_t kMostPorts = 28000;
+constexpr std::size_t kMaxPorts = 28000;
 
-// In MB of 1,048,576 bytes; 0 if /proc does not tell.
+// Returns an entry of /proc/meminfo in MB of 1,048,576 bytes; 0 if it is missing.
 double MemoryMb(const std::string& name) {
   std::ifstream in("/proc/meminfo");
   std::string key;
@@ -33,8 +33,8 @@
   std::ifstream in("/proc/sys/net/ipv4/ip_local_port_range");
   std::size_t first = 0;
   std::size_t last = 0;
-  if (!(in >> first >> last) || last < first) return kMostPorts;
-  return std::min(kMostPorts, last - first + 1);
+  if (!(in >> first >> last) || last < first) return kMaxPorts;
+  return std::min(kMaxPorts, last - first + 1);
 }
 
 }  // namespace
@@ -66,7 +66,7 @@
 CpuTimes ReadCpuTimes() {
   std::ifstream in("/proc/stat");
   std::string name;
-  // What the hypervisor gave to others is as good as busy here.
+  // Time that the hypervisor gave to other machines (steal) counts as busy: it is not available here either.
   double user = 0, nice = 0, system = 0, idle = 0, iowait = 0, irq = 0, softirq = 0, steal = 0;
   in >> name >> user >> nice >> system >> idle >> iowait >> irq >> softirq >> steal;
   const double busy = user + nice + system + irq + softirq + steal;
@@ -74,7 +74,7 @@
 }
 
 double BusyShare(const CpuTimes& before, const CpuTimes& after) {
-  return after.all > before.all ? (after.busy - before.busy) / (after.all - before.all) : 0;
+  return after.total > before.total ? (after.busy - before.busy) / (after.total - before.total) : 0;
 }
 
 ScratchFolder::ScratchFolder() {
@@ -84,7 +84,8 @@
 }
 
 ScratchFolder::~ScratchFolder() {
-  std::error_code ignored;  // a file that a child still writes: nothing is left to do about it
+  // Removal may fail if a child is still writing a file; nothing can be done about it here.
+  std::error_code ignored;
   std::filesystem::remove_all(path_, ignored);
 }
 
--- a/scale/machine.hpp
+++ b/scale/machine.hpp
@@ -1,4 +1,4 @@
-// What the machine is, and what of it a scale run may take.
+// Describes the machine and the share of its resources that a scale run may use.
 #ifndef MERLINRUN_SCALE_MACHINE_HPP_
 #define MERLINRUN_SCALE_MACHINE_HPP_
 
@@ -9,37 +9,37 @@
 namespace merlinrun::scale {
 
 struct MachineLimits {
-  std::size_t descriptors = 0;  // of one process, by RLIMIT_NOFILE
-  std::size_t ports = 0;        // of net.ipv4.ip_local_port_range, 28,000 at most
-  double memory_mb = 0;         // half of the machine's, and no more than is available now
+  std::size_t descriptors = 0;  // per process, from RLIMIT_NOFILE
+  std::size_t ports = 0;        // size of net.ipv4.ip_local_port_range, at most 28,000
+  double memory_mb = 0;         // half of the machine's memory, but at most what is available now
 };
 
 MachineLimits ReadMachineLimits();
 
-// For results: nothing that names the machine.
+// Description of the machine for results. It does not identify the machine, so there is no host name.
 struct Machine {
   unsigned cores = 0;
-  std::string cpu;     // the model, as /proc/cpuinfo has it
-  std::string kernel;  // its release
+  std::string cpu;     // model name from /proc/cpuinfo
+  std::string kernel;  // kernel release
 };
 
 Machine ReadMachine();
 
-// Of all cores together, since the machine's start, in its ticks.
+// CPU time of all cores together since boot, in clock ticks.
 struct CpuTimes {
   double busy = 0;
-  double all = 0;
+  double total = 0;
 };
 
 CpuTimes ReadCpuTimes();
 
-// Which part of all cores was busy between two readings; 0 if no tick has passed.
+// Returns the share of all cores' time that was busy between two measurements; 0 if no tick has passed.
 double BusyShare(const CpuTimes& before, const CpuTimes& after);
 
-// A fresh folder, removed with all that it holds when this goes.
+// Creates a temporary folder, and removes it with its content when the object is destroyed.
 class ScratchFolder {
  public:
-  // Throws std::runtime_error if there is no place for it.
+  // Throws std::runtime_error if the folder cannot be created.
   ScratchFolder();
   ~ScratchFolder();
   ScratchFolder(const ScratchFolder&) = delete;
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -1,5 +1,6 @@
-// rookhub_scale: the scale run. Exit status: 0 done, 1 if a step failed or a page differs from its results,
-// 2 if the input makes no sense and nothing was started, 3 if a signal ended the run early.
+// rookhub_scale: runs load experiments and evaluates their results. Exit status: 0 on success, 1 if a step
+// failed or a page differs from its results, 2 if the input is invalid and nothing was started, 3 if a signal
+// ended the run early.
 #include <spdlog/sinks/stdout_color_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -13,15 +14,15 @@
 
 namespace {
 
-volatile std::sig_atomic_t stop_asked = 0;
+volatile std::sig_atomic_t stop_requested = 0;
 
-extern "C" void AskStop(int /*signal*/) { stop_asked = 1; }
-extern "C" void Pass(int /*signal*/) {}
+extern "C" void RequestStop(int /*signal*/) { stop_requested = 1; }
+extern "C" void IgnoreSignal(int /*signal*/) {}
 
-void Handle(int signal, void (*handler)(int)) {
+void InstallHandler(int signal, void (*handler)(int)) {
   struct sigaction action {};
   action.sa_handler = handler;
-  action.sa_flags = SA_RESTART;  // steps look at the flag, their system calls need not end
+  action.sa_flags = SA_RESTART;  // steps check the flag, so their system calls need not be interrupted
   sigaction(signal, &action, nullptr);
 }
 
@@ -31,13 +32,13 @@
   int status = 0;
   if (merlinrun::scale::RunAsChild(argc, argv, status)) return status;
   try {
-    for (const int signal : {SIGINT, SIGTERM, SIGHUP}) Handle(signal, AskStop);
-    // The end of whoever reads the log must not end the run with its folder left behind. A handler, and not
-    // SIG_IGN, which children would inherit.
-    Handle(SIGPIPE, Pass);
+    for (const int signal : {SIGINT, SIGTERM, SIGHUP}) InstallHandler(signal, RequestStop);
+    // If the reader of the log exits, SIGPIPE must not kill the run, which would leave its scratch folder
+    // behind. This is a handler instead of SIG_IGN because child processes would inherit SIG_IGN.
+    InstallHandler(SIGPIPE, IgnoreSignal);
     spdlog::set_default_logger(spdlog::stderr_color_mt("rookhub_scale"));
     return merlinrun::scale::RunCommand(argc, argv, merlinrun::scale::StepKinds(),
-                                        [] { return stop_asked != 0; });
+                                        [] { return stop_requested != 0; });
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rookhub_scale: %s\n", error.what());
     return 1;
--- a/scale/numbers.hpp
+++ b/scale/numbers.hpp
@@ -1,4 +1,4 @@
-// Numbers as tables show them.
+// Formats numbers for tables.
 #ifndef MERLINRUN_SCALE_NUMBERS_HPP_
 #define MERLINRUN_SCALE_NUMBERS_HPP_
 
@@ -7,13 +7,15 @@
 
 namespace merlinrun::scale {
 
-// Four significant digits without an exponent where it can be: "14000", "0.001235", "1.235e+09".
-std::string Short(double value);
+// Four significant digits, or whole numbers from 1000 on; with an exponent only for very large and very small
+// values: "14000", "0.001235", "1.235e+09".
+std::string FormatNumber(double value);
 
-std::string ShortOrDash(std::optional<double> value);
+// "-" for no value.
+std::string FormatNumberOrDash(std::optional<double> value);
 
-// "3.4%", or "-" for none.
-std::string Percent(std::optional<double> share);
+// "3.4%", or "-" for no value.
+std::string FormatPercent(std::optional<double> share);
 
 }  // namespace merlinrun::scale
 
--- a/scale/paired_run.cpp
+++ b/scale/paired_run.cpp
@@ -10,9 +10,10 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr auto kAfterStart = std::chrono::milliseconds(500);
-// From when the last call was due to its end: a machine that stalls for longer gives no reading.
-constexpr auto kLongestRest = std::chrono::seconds(30);
+constexpr auto kStartupTime = std::chrono::milliseconds(500);
+// Limit from the scheduled time of the last call of a turn to its end. A machine that stalls for longer
+// cannot give a valid measurement.
+constexpr auto kMaxCallDuration = std::chrono::seconds(30);
 
 struct Quantile {
   const char* name;
@@ -24,20 +25,20 @@
  public:
   Callers(net::asio::io_context& io, const std::vector<Ways::Targets>& targets, CallerSettings settings)
       : io_(io) {
-    for (const Ways::Targets& own : targets) {
-      callers_.push_back(std::make_unique<Caller>(io, own, settings));
+    for (const Ways::Targets& caller_targets : targets) {
+      callers_.push_back(std::make_unique<Caller>(io, caller_targets, settings));
       ++settings.seed;
     }
   }
 
-  // One turn, to the end of its last call.
-  void Play(std::chrono::duration<double> length) {
+  // Runs one turn, up to the end of its last call.
+  void RunTurn(std::chrono::duration<double> length) {
     const auto time = std::chrono::duration_cast<std::chrono::nanoseconds>(length);
     for (const auto& caller : callers_) caller->Start(time);
     const auto done = [&] {
       return std::all_of(callers_.begin(), callers_.end(), [](const auto& caller) { return caller->done(); });
     };
-    if (!RunUntil(io_, done, time + kLongestRest)) throw std::runtime_error("calls did not end in time");
+    if (!RunUntil(io_, done, time + kMaxCallDuration)) throw std::runtime_error("calls did not end in time");
   }
   CallResults Take() {
     CallResults all;
@@ -50,10 +51,10 @@
   std::vector<std::unique_ptr<Caller>> callers_;
 };
 
-// Microseconds a second, once what belongs to the start is over.
-double IdleCpu(net::asio::io_context& io, std::chrono::duration<double> length,
-               const std::function<std::int64_t()>& cpu_us) {
-  RunFor(io, kAfterStart);
+// Returns the CPU time in microseconds per second while idle, measured after the start is over.
+double MeasureIdleCpu(net::asio::io_context& io, std::chrono::duration<double> length,
+                      const std::function<std::int64_t()>& cpu_us) {
+  RunFor(io, kStartupTime);
   const Clock::time_point start = Clock::now();
   const std::int64_t before = cpu_us();
   RunFor(io, std::chrono::duration_cast<std::chrono::nanoseconds>(length));
@@ -62,10 +63,10 @@
 
 }  // namespace
 
-void CheckServed(const std::string& way, const CallCounts& counts, double most_unserved) {
+void CheckServed(const std::string& path, const CallCounts& counts, double max_unserved_share) {
   const auto unserved = static_cast<double>(counts.sent - counts.served);
-  if (counts.sent > 0 && unserved <= most_unserved * static_cast<double>(counts.sent)) return;
-  throw std::runtime_error(way + ": of " + std::to_string(counts.sent) + " calls " +
+  if (counts.sent > 0 && unserved <= max_unserved_share * static_cast<double>(counts.sent)) return;
+  throw std::runtime_error(path + ": of " + std::to_string(counts.sent) + " calls " +
                            std::to_string(counts.refused) + " were refused, " +
                            std::to_string(counts.failed) + " failed and " +
                            std::to_string(counts.unanswered) + " were not answered");
@@ -91,13 +92,13 @@
   const double calls = static_cast<double>(std::min(direct.latency.count(), through.latency.count()));
   for (const auto& [name, share] : kQuantiles) {
     if (calls * (1 - share) < 10) continue;
-    const double without = direct.latency.QuantileMs(share);
-    const double with = through.latency.QuantileMs(share);
+    const double direct_ms = direct.latency.QuantileMs(share);
+    const double through_ms = through.latency.QuantileMs(share);
     const std::string unit = std::string(name) + "_ms";
-    figures["added_" + unit] = with - without;
-    figures["direct_" + unit] = without;
-    figures["through_" + unit] = with;
-    figures[std::string("ratio_") + name] = with / without;
+    figures["added_" + unit] = through_ms - direct_ms;
+    figures["direct_" + unit] = direct_ms;
+    figures["through_" + unit] = through_ms;
+    figures[std::string("ratio_") + name] = through_ms / direct_ms;
     figures["caller_late_" + unit] =
         std::max(direct.lateness.QuantileMs(share), through.lateness.QuantileMs(share));
   }
@@ -106,29 +107,29 @@
   return figures;
 }
 
-PairedResult RunPaired(net::asio::io_context& io, const Ways& ways, const CallerSettings& settings,
+PairedResult RunPaired(net::asio::io_context& io, const Ways& paths, const CallerSettings& settings,
                        const PairedPlan& plan, const std::function<std::int64_t()>& cpu_us,
                        const std::function<bool()>& should_stop) {
   PairedResult result;
-  result.idle_cpu_us_per_s = IdleCpu(io, plan.idle, cpu_us);
-  Callers without(io, ways.direct, settings);
-  Callers with(io, ways.through, settings);
-  const double calls_per_s = settings.calls_per_s * static_cast<double>(ways.through.size());
-  // Connections and what is learnt of the servers come up first.
-  for (Callers* const callers : {&without, &with}) {
-    callers->Play(std::max(plan.slice, std::chrono::duration<double>(10 / settings.calls_per_s)));
+  result.idle_cpu_us_per_s = MeasureIdleCpu(io, plan.idle, cpu_us);
+  Callers direct_callers(io, paths.direct, settings);
+  Callers through_callers(io, paths.through, settings);
+  const double calls_per_s = settings.calls_per_s * static_cast<double>(paths.through.size());
+  // A first turn of each path is discarded: it opens connections, and sidecars learn about the servers.
+  for (Callers* const callers : {&direct_callers, &through_callers}) {
+    callers->RunTurn(std::max(plan.slice, std::chrono::duration<double>(10 / settings.calls_per_s)));
     callers->Take();
   }
   const Clock::time_point start = Clock::now();
   const std::int64_t before = cpu_us();
   for (int turn = 0; turn < plan.Turns(calls_per_s) && !should_stop(); ++turn) {
-    without.Play(plan.slice);
-    with.Play(plan.slice);
+    direct_callers.RunTurn(plan.slice);
+    through_callers.RunTurn(plan.slice);
   }
   result.cpu_us = cpu_us() - before;
   result.time = Clock::now() - start;
-  result.direct = without.Take();
-  result.through = with.Take();
+  result.direct = direct_callers.Take();
+  result.through = through_callers.Take();
   if (should_stop()) return result;
   CheckServed("directly", result.direct.counts);
   CheckServed("through sidecars", result.through.counts);
--- a/scale/paired_run.hpp
+++ b/scale/paired_run.hpp
@@ -1,5 +1,5 @@
-// The same calls directly and through sidecars, in turns of the same run: what else the machine does is in
-// both.
+// Makes the same calls directly and through sidecars, in alternating turns of one run. Other load on the
+// machine then affects both alike.
 #ifndef MERLINRUN_SCALE_PAIRED_RUN_HPP_
 #define MERLINRUN_SCALE_PAIRED_RUN_HPP_
 
@@ -16,19 +16,19 @@
 
 namespace merlinrun::scale {
 
-// How long a reading takes, as the scenario has it.
+// The durations of one measurement, from the scenario.
 struct PairedPlan {
-  std::chrono::duration<double> slice{2};  // a turn of either
-  // Before the first call. Discovery's empty lines come every 2 s.
+  std::chrono::duration<double> slice{2};  // duration of one turn
+  // Idle time before the first call. The default covers several heartbeats of discovery, one every 2 s.
   std::chrono::duration<double> idle{6};
-  std::int64_t calls = 2000;  // at least so many are expected in the turns of either
+  std::int64_t calls = 2000;  // minimum number expected in all turns of each kind
 
   // Reads "slice_s", "idle_s" and "calls_per_reading".
   static PairedPlan Read(Parameters& parameters);
-  int Turns(double calls_per_s) const;  // of either, for the rate of all callers together
+  int Turns(double calls_per_s) const;  // number of turns of each kind, for the total rate of all callers
 };
 
-// Where calls go on either way: the targets of each caller.
+// The targets of each caller, for direct calls and for calls through sidecars.
 struct Ways {
   using Targets = std::vector<net::Tcp::endpoint>;
   std::vector<Targets> direct;
@@ -38,25 +38,26 @@
 struct PairedResult {
   CallResults direct;
   CallResults through;
-  // Of the sidecars: before the first call, and over all turns. A call costs something after its end too, in
-  // the direct turn that follows.
+  // CPU time of the sidecars: before the first call, and over all turns. The direct turns are included
+  // because a call causes some work after its end, which falls into the direct turn that follows.
   double idle_cpu_us_per_s = 0;
   std::int64_t cpu_us = 0;
   std::chrono::duration<double> time{};
 
-  // "cpu_us_per_call", less what they would have used without calls; what the way through sidecars adds to
-  // the mean and to quantiles, those of either way, and the callers' own lateness. A quantile that fewer than
-  // ten calls lie above is left out.
+  // Returns "cpu_us_per_call", without the CPU time that the sidecars would have used when idle; the latency
+  // that the sidecars add to the mean and to each quantile; the quantiles of both paths; and the lateness of
+  // the callers. Quantiles with fewer than ten calls above them are left out.
   std::map<std::string, double> Figures() const;
 };
 
-// Throws std::runtime_error if there was no call, or more than that share of them got no 200: what is
-// measured of the others would not be the whole.
-void CheckServed(const std::string& way, const CallCounts& counts, double most_unserved = 0.001);
+// Throws std::runtime_error if there was no call, or if more than this share of the calls did not get status
+// 200: the figures of the other calls alone would not be representative.
+void CheckServed(const std::string& path, const CallCounts& counts, double max_unserved_share = 0.001);
 
-// Callers of both ways have the same schedules, the n-th of each way that of the settings' seed + n. Throws
-// as CheckServed for either way; ends early, with less, once `should_stop` holds.
-PairedResult RunPaired(net::asio::io_context& io, const Ways& ways, const CallerSettings& settings,
+// Callers of both paths have the same schedules: the n-th caller of each path uses the settings' seed + n.
+// Throws as CheckServed() does for each path. Returns early, with fewer calls, once `should_stop` returns
+// true.
+PairedResult RunPaired(net::asio::io_context& io, const Ways& paths, const CallerSettings& settings,
                        const PairedPlan& plan, const std::function<std::int64_t()>& cpu_us,
                        const std::function<bool()>& should_stop);
 
--- a/scale/results.cpp
+++ b/scale/results.cpp
@@ -18,13 +18,13 @@
 
 constexpr int kSchema = 1;
 
-// A value of a result with the key under which it stands, for errors.
-class Reading {
+// A JSON value of a result file, with its key path for error messages.
+class JsonValue {
  public:
-  Reading(const std::filesystem::path& file, std::string key, const json& value)
+  JsonValue(const std::filesystem::path& file, std::string key, const json& value)
       : file_(file), key_(std::move(key)), value_(value) {}
 
-  Reading At(const std::string& name) const {
+  JsonValue Member(const std::string& name) const {
     const std::string key = key_.empty() ? name : key_ + "." + name;
     if (!value_.is_object()) RejectInput(file_, key_.empty() ? "file" : key_, "must be an object");
     const auto found = value_.find(name);
@@ -32,7 +32,7 @@
     return {file_, key, *found};
   }
 
-  std::string Text() const {
+  std::string String() const {
     if (!value_.is_string()) RejectInput(file_, key_, "must be a string");
     return value_.get<std::string>();
   }
@@ -48,19 +48,19 @@
   }
 
   std::uint64_t Count() const {
-    if (!value_.is_number_unsigned()) RejectInput(file_, key_, "must be a whole number from 0");
+    if (!value_.is_number_unsigned()) RejectInput(file_, key_, "must be a non-negative integer");
     return value_.get<std::uint64_t>();
   }
 
-  int Small() const {
+  int SmallCount() const {
     const std::uint64_t count = Count();
-    if (count > 1000000) RejectInput(file_, key_, "must be a whole number to 1000000");
+    if (count > 1000000) RejectInput(file_, key_, "must be an integer of at most 1000000");
     return static_cast<int>(count);
   }
 
-  std::vector<Reading> Items() const {
+  std::vector<JsonValue> Items() const {
     if (!value_.is_array()) RejectInput(file_, key_, "must be a list");
-    std::vector<Reading> items;
+    std::vector<JsonValue> items;
     for (std::size_t i = 0; i < value_.size(); ++i) {
       items.emplace_back(file_, key_ + "[" + std::to_string(i) + "]", value_[i]);
     }
@@ -70,7 +70,7 @@
   std::map<std::string, double> Numbers() const {
     if (!value_.is_object()) RejectInput(file_, key_, "must be an object");
     std::map<std::string, double> numbers;
-    for (const auto& [name, unused] : value_.items()) numbers[name] = At(name).Number();
+    for (const auto& [name, unused] : value_.items()) numbers[name] = Member(name).Number();
     return numbers;
   }
 
@@ -80,12 +80,12 @@
   const json& value_;
 };
 
-Sample ReadSample(const Reading& reading) {
+Sample ReadSample(const JsonValue& value) {
   Sample sample;
-  sample.measure = reading.At("measure").Text();
-  sample.conditions = reading.At("conditions").Numbers();
-  sample.figures = reading.At("figures").Numbers();
-  sample.repeat = reading.At("repeat").Small();
+  sample.measure = value.Member("measure").String();
+  sample.conditions = value.Member("conditions").Numbers();
+  sample.figures = value.Member("figures").Numbers();
+  sample.repeat = value.Member("repeat").SmallCount();
   return sample;
 }
 
@@ -134,24 +134,24 @@
 void PrepareFolder(const std::filesystem::path& folder) {
   std::error_code error;
   if (std::filesystem::exists(std::filesystem::symlink_status(ResultFile(folder), error))) {
-    RejectInput(ResultFile(folder), "--out", "holds a result already, which is not overwritten");
+    RejectInput(ResultFile(folder), "--out", "contains a result already, which is not overwritten");
   }
   std::filesystem::create_directories(folder, error);
-  if (error) RejectInput(folder, "--out", "cannot be made: " + error.message());
+  if (error) RejectInput(folder, "--out", "cannot be created: " + error.message());
 }
 
 void WriteFile(const std::filesystem::path& file, const std::string& text) {
-  std::filesystem::path fresh = file;
-  fresh += ".new";
-  std::ofstream out(fresh, std::ios::binary | std::ios::trunc);
+  std::filesystem::path temporary = file;
+  temporary += ".new";
+  std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
   out << text;
   out.close();
-  if (!out) throw std::runtime_error(fresh.string() + ": cannot be written");
-  std::filesystem::rename(fresh, file);
+  if (!out) throw std::runtime_error(temporary.string() + ": cannot be written");
+  std::filesystem::rename(temporary, file);
 }
 
 void WriteResult(const Result& result, const std::filesystem::path& folder) {
-  // Text of others, as in a step's error, need not be UTF-8.
+  // Text from outside this program, for example in the error of a step, may not be valid UTF-8.
   WriteFile(ResultFile(folder), ToJson(result).dump(1, ' ', false, json::error_handler_t::replace) + "\n");
 }
 
@@ -159,26 +159,27 @@
   const std::filesystem::path file = ResultFile(folder);
   const json root = json::parse(ReadText(file), nullptr, false);
   if (root.is_discarded()) RejectInput(file, "file", "is not JSON");
-  const Reading reading(file, "", root);
-  if (const std::uint64_t schema = reading.At("schema").Count(); schema != kSchema) {
+  const JsonValue value(file, "", root);
+  if (const std::uint64_t schema = value.Member("schema").Count(); schema != kSchema) {
     RejectInput(file, "schema",
                 "is " + std::to_string(schema) + ", this program reads " + std::to_string(kSchema));
   }
   Result result;
-  result.scenario = reading.At("scenario").At("name").Text();
-  result.scenario_text = reading.At("scenario").At("text").Text();
-  result.seed = reading.At("seed").Count();
-  result.repeats = reading.At("repeats").Small();
-  result.started = reading.At("started").Text();
-  result.seconds = reading.At("seconds").Number();
-  const Reading machine = reading.At("machine");
-  result.machine.cores = static_cast<unsigned>(machine.At("cores").Small());
-  result.machine.cpu = machine.At("cpu").Text();
-  result.machine.kernel = machine.At("kernel").Text();
-  result.build = reading.At("build").Text();
-  result.partial = reading.At("partial").Flag();
-  for (const Reading& reason : reading.At("reasons").Items()) result.reasons.push_back(reason.Text());
-  for (const Reading& sample : reading.At("samples").Items()) result.samples.push_back(ReadSample(sample));
+  result.scenario = value.Member("scenario").Member("name").String();
+  result.scenario_text = value.Member("scenario").Member("text").String();
+  result.seed = value.Member("seed").Count();
+  result.repeats = value.Member("repeats").SmallCount();
+  result.started = value.Member("started").String();
+  result.seconds = value.Member("seconds").Number();
+  const JsonValue machine = value.Member("machine");
+  result.machine.cores = static_cast<unsigned>(machine.Member("cores").SmallCount());
+  result.machine.cpu = machine.Member("cpu").String();
+  result.machine.kernel = machine.Member("kernel").String();
+  result.build = value.Member("build").String();
+  result.partial = value.Member("partial").Flag();
+  for (const JsonValue& reason : value.Member("reasons").Items()) result.reasons.push_back(reason.String());
+  for (const JsonValue& sample : value.Member("samples").Items())
+    result.samples.push_back(ReadSample(sample));
   return result;
 }
 
--- a/scale/run_as_child.cpp
+++ b/scale/run_as_child.cpp
@@ -19,9 +19,9 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr int kCannotRun = 127;  // as a shell says it
+constexpr int kExitCannotExecute = 127;  // as shells report a command that cannot be executed
 
-int Number(const char* text) {
+int ParseInt(const char* text) {
   int number = 0;
   std::from_chars(text, text + std::strlen(text), number);
   return number;
@@ -29,20 +29,22 @@
 
 }  // namespace
 
-// PROGRAM child-tethered OWNER OTHER ARGUMENTS... becomes the other program, which dies with its owner.
-// PROGRAM child-tethered OWNER PROGRAM KIND PORT is one of this program's own parts.
+// There are two forms of the command line, where PARENT is the pid of the process that started this one:
+// PROGRAM child-tethered PARENT OTHER ARGUMENTS... executes the other program, which is killed when its
+// parent dies. PROGRAM child-tethered PARENT PROGRAM KIND PORT runs one of this program's own worker
+// processes.
 bool RunAsChild(int argc, char** argv, int& status) {
-  if (argc < 4 || std::string_view(argv[1]) != kTetheredArgument) return false;
-  status = kCannotRun;
-  if (!TetherTo(Number(argv[2]))) return true;
-  if (argc != 6 || argv[3] != OwnProgram().string()) {
+  if (argc < 4 || std::string_view(argv[1]) != kChildArgument) return false;
+  status = kExitCannotExecute;
+  if (!DieWithParent(ParseInt(argv[2]))) return true;
+  if (argc != 6 || argv[3] != ExecutablePath().string()) {
     ::execv(argv[3], argv + 3);
     std::fprintf(stderr, "%s: %s\n", argv[3], std::strerror(errno));
     return true;
   }
   std::signal(SIGPIPE, SIG_IGN);
   const std::string_view kind = argv[4];
-  const auto port = static_cast<std::uint16_t>(Number(argv[5]));
+  const auto port = static_cast<std::uint16_t>(ParseInt(argv[5]));
   try {
     if (kind == kDiscoveryProcess) {
       status = RunDiscoveryProcess(port);
--- a/scale/run_as_child.hpp
+++ b/scale/run_as_child.hpp
@@ -1,11 +1,11 @@
-// What this program does when it has been started by itself.
+// The entry point of this program when it is started as a child process of itself.
 #ifndef MERLINRUN_SCALE_RUN_AS_CHILD_HPP_
 #define MERLINRUN_SCALE_RUN_AS_CHILD_HPP_
 
 namespace merlinrun::scale {
 
-// To be called first of all by main: true if this process was started as a child, and is done; main returns
-// `status` then. May replace the process by another program and not return at all.
+// main() must call this first. Returns true if this process was started as a child and has finished its work;
+// main() then returns `status`. Does not return if the child is another program, which replaces this process.
 bool RunAsChild(int argc, char** argv, int& status);
 
 }  // namespace merlinrun::scale
--- a/scale/runner.cpp
+++ b/scale/runner.cpp
@@ -20,7 +20,8 @@
  public:
   explicit ResultRecorder(Result& result) : result_(result) {}
 
-  // Throws std::runtime_error for a figure that is not finite: JSON has no word for it, and a fit no use.
+  // Throws std::runtime_error for a value that is not finite: JSON cannot represent it, and no line can be
+  // fitted through it.
   void Add(Sample sample) override {
     for (const auto* numbers : {&sample.conditions, &sample.figures}) {
       for (const auto& [name, value] : *numbers) {
@@ -34,12 +35,13 @@
   Result& result_;
 };
 
-// Results name no place of the machine that they were taken on.
-std::string WithoutPath(std::string text, const std::filesystem::path& path, const std::string& name) {
-  const std::string place = path.string();
-  if (place.empty()) return text;
-  for (std::size_t at = text.find(place); at != std::string::npos; at = text.find(place, at + name.size())) {
-    text.replace(at, place.size(), name);
+// Replaces a path by a name. Results must not contain paths of the machine that they were taken on.
+std::string ReplacePath(std::string text, const std::filesystem::path& path, const std::string& name) {
+  const std::string path_text = path.string();
+  if (path_text.empty()) return text;
+  for (std::size_t at = text.find(path_text); at != std::string::npos;
+       at = text.find(path_text, at + name.size())) {
+    text.replace(at, path_text.size(), name);
   }
   return text;
 }
@@ -56,28 +58,28 @@
     result_.build = BuildType();
   }
 
-  int Play() {
+  int Execute() {
     try {
-      Write({"the run has not ended"});
+      WriteResultFile({"the run has not ended"});
     } catch (const std::exception&) {
       RejectInput(ResultFile(options_.out), "--out", "cannot be written");
     }
     for (const PlannedStep& planned : scenario_.steps) {
       if (options_.should_stop()) {
         interrupted_ = true;
-        Miss(planned, "not run: interrupted");
+        AddReason(planned, "not run: interrupted");
         continue;
       }
-      PlayStep(planned);
-      Write({"the run has not ended"});
+      RunStep(planned);
+      WriteResultFile({"the run has not ended"});
     }
-    Write({});
+    WriteResultFile({});
     return interrupted_ ? kInterrupted : reasons_.empty() ? kDone : kFailed;
   }
 
  private:
-  void PlayStep(const PlannedStep& planned) {
-    spdlog::info("{} ({}): starts", planned.key, planned.kind);
+  void RunStep(const PlannedStep& planned) {
+    spdlog::info("{} ({}): started", planned.key, planned.kind);
     const std::size_t before = result_.samples.size();
     ResultRecorder recorder(result_);
     Context context{recorder, scenario_.seed,      planned.repeats, options_.sidecar, options_.relay,
@@ -87,30 +89,30 @@
       std::filesystem::create_directory(context.scratch);
       planned.step->Run(context);
     } catch (const std::exception& error) {
-      Miss(planned, error.what());
+      AddReason(planned, error.what());
     } catch (...) {
-      Miss(planned, "ended by an unknown exception");
+      AddReason(planned, "failed with an unknown exception");
     }
     if (options_.should_stop()) {
       interrupted_ = true;
-      Miss(planned, "interrupted");
+      AddReason(planned, "interrupted");
     }
-    spdlog::info("{} ({}): ended with {} samples", planned.key, planned.kind,
+    spdlog::info("{} ({}): finished with {} samples", planned.key, planned.kind,
                  result_.samples.size() - before);
   }
 
-  void Miss(const PlannedStep& planned, const std::string& why) {
-    std::string reason = planned.key + " (" + planned.kind + "): " + OneLine(why);
+  void AddReason(const PlannedStep& planned, const std::string& message) {
+    std::string reason = planned.key + " (" + planned.kind + "): " + OneLine(message);
     spdlog::error("{}", reason);
-    reason = WithoutPath(std::move(reason), scratch_.path(), "scratch");
-    reason = WithoutPath(std::move(reason), options_.sidecar, "the sidecar");
-    reasons_.push_back(WithoutPath(std::move(reason), options_.relay, "the relay"));
+    reason = ReplacePath(std::move(reason), scratch_.path(), "scratch");
+    reason = ReplacePath(std::move(reason), options_.sidecar, "the sidecar");
+    reasons_.push_back(ReplacePath(std::move(reason), options_.relay, "the relay"));
   }
 
-  void Write(const std::vector<std::string>& more) {
+  void WriteResultFile(const std::vector<std::string>& extra_reasons) {
     result_.seconds = std::chrono::duration<double>(Clock::now() - started_).count();
     result_.reasons = reasons_;
-    result_.reasons.insert(result_.reasons.end(), more.begin(), more.end());
+    result_.reasons.insert(result_.reasons.end(), extra_reasons.begin(), extra_reasons.end());
     result_.partial = !result_.reasons.empty();
     WriteResult(result_, options_.out);
   }
@@ -128,7 +130,7 @@
 
 int RunScenario(const Scenario& scenario, const RunOptions& options) {
   PrepareFolder(options.out);
-  return Run(scenario, options).Play();
+  return Run(scenario, options).Execute();
 }
 
 }  // namespace merlinrun::scale
--- a/scale/table_reader.cpp
+++ b/scale/table_reader.cpp
@@ -9,11 +9,11 @@
 namespace merlinrun::scale {
 namespace {
 
-std::string Range(const std::string& least, const std::string& most) {
-  return "must be from " + least + " to " + most;
+std::string RangeMessage(const std::string& min, const std::string& max) {
+  return "must be from " + min + " to " + max;
 }
 
-std::string Shown(double value) {
+std::string NumberText(double value) {
   std::ostringstream out;
   out << value;
   return out.str();
@@ -62,61 +62,61 @@
 
 bool TableReader::Has(const std::string& key) const { return table_.contains(key); }
 
-std::int64_t TableReader::Ranged(const std::string& key, const toml::node& node, std::int64_t least,
-                                 std::int64_t most) const {
+std::int64_t TableReader::CheckedInteger(const std::string& key, const toml::node& node, std::int64_t min,
+                                         std::int64_t max) const {
   if (!node.is_integer()) Reject(key, "must be a whole number");
   const std::int64_t value = node.as_integer()->get();
-  if (value < least || value > most) Reject(key, Range(std::to_string(least), std::to_string(most)));
+  if (value < min || value > max) Reject(key, RangeMessage(std::to_string(min), std::to_string(max)));
   return value;
 }
 
-std::int64_t TableReader::Integer(const std::string& key, std::int64_t standard, std::int64_t least,
-                                  std::int64_t most) {
+std::int64_t TableReader::Integer(const std::string& key, std::int64_t default_value, std::int64_t min,
+                                  std::int64_t max) {
   const toml::node* node = Find(key);
-  return node == nullptr ? standard : Ranged(key, *node, least, most);
+  return node == nullptr ? default_value : CheckedInteger(key, *node, min, max);
 }
 
-double TableReader::Number(const std::string& key, double standard, double least, double most) {
+double TableReader::Number(const std::string& key, double default_value, double min, double max) {
   const toml::node* node = Find(key);
-  if (node == nullptr) return standard;
+  if (node == nullptr) return default_value;
   if (!node->is_number()) Reject(key, "must be a number");
   const double value = *node->value<double>();
-  // Not a number is in no range.
-  if (!(value >= least && value <= most)) Reject(key, Range(Shown(least), Shown(most)));
+  // Written so that NaN, for which every comparison is false, is rejected as well.
+  if (!(value >= min && value <= max)) Reject(key, RangeMessage(NumberText(min), NumberText(max)));
   return value;
 }
 
-bool TableReader::Flag(const std::string& key, bool standard) {
+bool TableReader::Flag(const std::string& key, bool default_value) {
   const toml::node* node = Find(key);
-  if (node == nullptr) return standard;
+  if (node == nullptr) return default_value;
   if (!node->is_boolean()) Reject(key, "must be true or false");
   return node->as_boolean()->get();
 }
 
-std::string TableReader::Word(const std::string& key, const std::string& standard) {
+std::string TableReader::Word(const std::string& key, const std::string& default_value) {
   const toml::node* node = Find(key);
-  if (node == nullptr) return standard;
+  if (node == nullptr) return default_value;
   if (!node->is_string()) Reject(key, "must be a string");
   return node->as_string()->get();
 }
 
 std::vector<std::int64_t> TableReader::Integers(const std::string& key,
-                                                const std::vector<std::int64_t>& standard, std::int64_t least,
-                                                std::int64_t most) {
+                                                const std::vector<std::int64_t>& default_value,
+                                                std::int64_t min, std::int64_t max) {
   const toml::node* node = Find(key);
   std::vector<std::int64_t> values;
   if (node == nullptr) {
-    values = standard;
+    values = default_value;
   } else if (const toml::array* array = node->as_array()) {
-    for (const toml::node& item : *array) values.push_back(Ranged(key, item, least, most));
+    for (const toml::node& item : *array) values.push_back(CheckedInteger(key, item, min, max));
   } else {
     Reject(key, "must be a list of whole numbers");
   }
-  if (values.empty()) Reject(key, "must hold at least one size");
+  if (values.empty()) Reject(key, "must contain at least one size");
   return values;
 }
 
-std::string TableReader::Needed(const std::string& key) {
+std::string TableReader::RequiredString(const std::string& key) {
   std::string value = Word(key, "");
   if (value.empty()) Reject(key, Has(key) ? "must not be empty" : "is missing");
   return value;
@@ -134,9 +134,9 @@
   std::vector<const toml::table*> tables;
   if (node == nullptr) return tables;
   const toml::array* array = node->as_array();
-  if (array == nullptr) Reject(key, "must be tables, each under [[" + key + "]]");
+  if (array == nullptr) Reject(key, "must be an array of tables, each under [[" + key + "]]");
   for (const toml::node& item : *array) {
-    if (!item.is_table()) Reject(key, "must be tables, each under [[" + key + "]]");
+    if (!item.is_table()) Reject(key, "must be an array of tables, each under [[" + key + "]]");
     tables.push_back(item.as_table());
   }
   return tables;
@@ -144,7 +144,7 @@
 
 void TableReader::RejectUnusedKeys() const {
   for (const auto& [key, node] : table_) {
-    if (!used_.contains(std::string(key.str()))) Reject(std::string(key.str()), "is not known here");
+    if (!used_.contains(std::string(key.str()))) Reject(std::string(key.str()), "is not a known key");
   }
 }
 
--- a/tests/scale/capacity_test.cpp
+++ b/tests/scale/capacity_test.cpp
@@ -10,7 +10,7 @@
 namespace merlinrun::scale::testing {
 namespace {
 
-Sample Reading(double listed, double bytes, int repeat = 0) {
+Sample MakeSample(double listed, double bytes, int repeat = 0) {
   return {"fake", {{"listed", listed}}, {{"memory_bytes", bytes}}, repeat};
 }
 
@@ -20,49 +20,51 @@
   std::vector<Sample> samples;
   for (const double size : {1, 10, 100, 1000}) {
     const double y = 100 + 3 * size;
-    for (const double off : {-0.1, 0.0, 0.3}) samples.push_back(Reading(size, y * (1 + off)));
+    for (const double deviation : {-0.1, 0.0, 0.3}) samples.push_back(MakeSample(size, y * (1 + deviation)));
   }
   const Series series = FitAll(samples).at(kSeries);
   ASSERT_TRUE(series.line.has_value());
   EXPECT_NEAR(series.line->slope, 3, 1e-9);
   EXPECT_NEAR(series.line->intercept, 100, 1e-6);
   EXPECT_NEAR(series.theil_sen, 3, 1e-9);
-  EXPECT_LT(series.exponent.value(), 0.9);  // the part that does not grow
+  EXPECT_LT(series.exponent.value(), 0.9);  // because of the intercept
   EXPECT_NEAR(series.increase_exponent.value(), 1, 1e-9);
   EXPECT_NEAR(series.residual_largest, 0, 1e-9);
   EXPECT_NEAR(series.spread.value(), 0.4, 1e-9);
-  EXPECT_TRUE(series.TwoDecades());
+  EXPECT_TRUE(series.SpansTwoDecades());
 }
 
-TEST(ScaleFit, TellsAPowerLawFromALine) {
+TEST(ScaleFit, DistinguishesAPowerLawFromALine) {
   std::vector<Sample> samples;
-  for (const double size : {1, 2, 4, 8, 16}) samples.push_back(Reading(size, 5 * size * size));
+  for (const double size : {1, 2, 4, 8, 16}) samples.push_back(MakeSample(size, 5 * size * size));
   const Series series = FitAll(samples).at(kSeries);
   EXPECT_NEAR(series.exponent.value(), 2, 1e-9);
   // The line is 86.25 x - 193.75: at size 1 it is -107.5, not 5.
   EXPECT_NEAR(series.residual_largest, 22.5, 1e-9);
-  EXPECT_FALSE(series.TwoDecades());
+  EXPECT_FALSE(series.SpansTwoDecades());
   EXPECT_FALSE(series.spread.has_value());
 }
 
-TEST(ScaleFit, IsNotThrownByOneBadSize) {
+TEST(ScaleFit, TheilSenIsRobustToOneOutlier) {
   std::vector<Sample> samples;
-  for (const double size : {1, 2, 3, 4, 5, 6, 7}) samples.push_back(Reading(size, size == 6 ? 60 : 2 * size));
+  for (const double size : {1, 2, 3, 4, 5, 6, 7})
+    samples.push_back(MakeSample(size, size == 6 ? 60 : 2 * size));
   const Series series = FitAll(samples).at(kSeries);
   EXPECT_NEAR(series.theil_sen, 2, 1e-9);
   EXPECT_GT(series.line->slope, 4);
 }
 
-TEST(ScaleFit, SaysTooFewSizesInsteadOfASlope) {
-  const Bench bench;
+TEST(ScaleFit, ReportsTooFewSizesInsteadOfASlope) {
+  const ProgramFixture program;
   const std::string scenario = "name = \"a\"\n[[step]]\nkind = \"fake\"\nlisted = [1, 2, 3]\n";
-  ASSERT_EQ(bench.Run(scenario, "few"), 0);
-  ASSERT_EQ(bench.Call({"fit", bench.folder / "few", "--json", bench.folder / "fit.json"}), 0);
-  EXPECT_NE(bench.out.find("3 sizes 1..3, under two decades; too few sizes"), std::string::npos) << bench.out;
-  EXPECT_NE(Slurp(bench.folder / "fit.json").find("\"slope\": \"too few sizes\""), std::string::npos);
+  ASSERT_EQ(program.Run(scenario, "few"), 0);
+  ASSERT_EQ(program.Call({"fit", program.folder / "few", "--json", program.folder / "fit.json"}), 0);
+  EXPECT_NE(program.out.find("3 sizes 1..3, under two decades; too few sizes"), std::string::npos)
+      << program.out;
+  EXPECT_NE(ReadFile(program.folder / "fit.json").find("\"slope\": \"too few sizes\""), std::string::npos);
 }
 
-TEST(ScaleFit, KeepsSeriesUnderOtherConditionsApart) {
+TEST(ScaleFit, SeparatesSeriesByTheirOtherConditions) {
   std::vector<Sample> samples;
   for (const double relays : {1, 2}) {
     for (const double watches : {1, 2, 3, 4}) {
@@ -76,7 +78,7 @@
   EXPECT_EQ(fitted.size(), 6U);
 }
 
-TEST(ScaleFit, SaysWhetherASecondRunComesOutWithinTheSpread) {
+TEST(ScaleFit, ComparesALaterSlopeWithTheSpreadOfTheFirstRun) {
   Series first;
   Series later;
   first.line = Line{10, 0};
@@ -88,24 +90,24 @@
   EXPECT_FALSE(WithinSpread(first, later).value());
 }
 
-double Known(const std::string& name, std::optional<double> argument) {
+double LookUp(const std::string& name, std::optional<double> argument) {
   if (name == "a.b[c=1]") return 10 * argument.value_or(1);
   throw FormulaError(name + " is not known");
 }
 
-TEST(ScaleFormula, CountsAsPeopleDo) {
-  EXPECT_DOUBLE_EQ(Evaluate("1 + 2 * 3 - 4 / 8", Known), 6.5);
-  EXPECT_DOUBLE_EQ(Evaluate("-(1 - 3) * 2 - 2 - 1", Known), 1);
-  EXPECT_DOUBLE_EQ(Evaluate("max(1, min(7, 5), 2) / 2 / 5", Known), 0.5);
-  EXPECT_DOUBLE_EQ(Evaluate("a.b[c=1] + a.b[c=1](3e1)", Known), 310);
+TEST(ScaleFormula, FollowsTheUsualOperatorPrecedence) {
+  EXPECT_DOUBLE_EQ(Evaluate("1 + 2 * 3 - 4 / 8", LookUp), 6.5);
+  EXPECT_DOUBLE_EQ(Evaluate("-(1 - 3) * 2 - 2 - 1", LookUp), 1);
+  EXPECT_DOUBLE_EQ(Evaluate("max(1, min(7, 5), 2) / 2 / 5", LookUp), 0.5);
+  EXPECT_DOUBLE_EQ(Evaluate("a.b[c=1] + a.b[c=1](3e1)", LookUp), 310);
 }
 
-TEST(ScaleFormula, TellsWhatIsNone) {
+TEST(ScaleFormula, RejectsInvalidFormulas) {
   for (const char* bad :
        {"", "1 +", "1 2", "(1", "1 / (2 - 2)", "b", "a.b[c=1", "max(1", "1e999", "2 ^ 2", "1e300*1e300"}) {
-    EXPECT_THROW(Evaluate(bad, Known), FormulaError) << bad;
+    EXPECT_THROW(Evaluate(bad, LookUp), FormulaError) << bad;
   }
-  EXPECT_THROW(Evaluate(std::string(100000, '('), Known), FormulaError);
+  EXPECT_THROW(Evaluate(std::string(100000, '('), LookUp), FormulaError);
 }
 
 constexpr char kTargets[] = R"toml(
@@ -141,66 +143,71 @@
 class ScaleCapacity : public ::testing::Test {
  protected:
   ScaleCapacity() {
-    EXPECT_EQ(bench.Run("name = \"a\"\n[[step]]\nkind = \"fake\"\n", "first"), 0);
-    bench.Write("targets.toml", kTargets);
-    bench.Write("roles.toml", kRoles);
+    EXPECT_EQ(program.Run("name = \"a\"\n[[step]]\nkind = \"fake\"\n", "first"), 0);
+    program.Write("targets.toml", kTargets);
+    program.Write("roles.toml", kRoles);
   }
 
-  int Capacity(const std::vector<std::string>& more = {}) const {
-    std::vector<std::string> all = {"capacity",  bench.folder / "first",
-                                    "--targets", bench.folder / "targets.toml",
-                                    "--roles",   bench.folder / "roles.toml"};
-    all.insert(all.end(), more.begin(), more.end());
-    return bench.Call(all);
+  int Capacity(const std::vector<std::string>& extra = {}) const {
+    std::vector<std::string> all = {"capacity",  program.folder / "first",
+                                    "--targets", program.folder / "targets.toml",
+                                    "--roles",   program.folder / "roles.toml"};
+    all.insert(all.end(), extra.begin(), extra.end());
+    return program.Call(all);
   }
 
-  void Has(const std::string& text) const { EXPECT_NE(bench.out.find(text), std::string::npos) << bench.out; }
+  void ExpectOutput(const std::string& text) const {
+    EXPECT_NE(program.out.find(text), std::string::npos) << program.out;
+  }
 
-  const Bench bench;
+  const ProgramFixture program;
 };
 
 TEST_F(ScaleCapacity, ShowsDemandsAtTheTarget) {
-  ASSERT_EQ(Capacity(), 0) << bench.error;
+  ASSERT_EQ(Capacity(), 0) << program.error;
   // 100 + 3 * 7000 of 20000; the largest size measured is 1000.
-  Has("| sidecar | memory | ordinary | 21100 | 20000 | bytes | 1.055 over | line.fake.memory_bytes.listed "
+  ExpectOutput(
+      "| sidecar | memory | ordinary | 21100 | 20000 | bytes | 1.055 over | line.fake.memory_bytes.listed "
       "(first) | "
       "`line.fake.memory_bytes.listed(listed)` | yes, 7 of the largest size | missing |");
-  Has("| control | memory | worst | 430 | 10000 | bytes | 0.043 under |");
-  Has("| no, 0.1 of the largest size | lists |");
-  Has("| 1 | sidecar | memory | ordinary |");
-  Has("| 2 | control | memory | worst |");
-  Has("| listed_share | 0.5 | tried | 0.53 under (sidecar, memory, ordinary) | 1.055 over (sidecar, memory, "
+  ExpectOutput("| control | memory | worst | 430 | 10000 | bytes | 0.043 under |");
+  ExpectOutput("| no, 0.1 of the largest size | lists |");
+  ExpectOutput("| 1 | sidecar | memory | ordinary |");
+  ExpectOutput("| 2 | control | memory | worst |");
+  ExpectOutput(
+      "| listed_share | 0.5 | tried | 0.53 under (sidecar, memory, ordinary) | 1.055 over (sidecar, memory, "
       "ordinary) | "
       "2.105 over (sidecar, memory, ordinary) | 0.53 to 2.105 (sidecar, memory, ordinary) |");
-  Has("| fake.memory_bytes.listed | first | 3 | 100 | 3 | 1, 10, 100, 1000 | yes | 0.0% | 0.0% | - | 0.4924 "
+  ExpectOutput(
+      "| fake.memory_bytes.listed | first | 3 | 100 | 3 | 1, 10, 100, 1000 | yes | 0.0% | 0.0% | - | 0.4924 "
       "| 1 |");
 }
 
-TEST_F(ScaleCapacity, ChecksThePageToTheLastDigit) {
+TEST_F(ScaleCapacity, DetectsASingleChangedDigitInThePage) {
   std::string page = "Before\n";
   for (const char* name : {"ranking", "slopes", "roles", "assumptions", "agreement"}) {
     page += std::string("<!-- table ") + name + " -->\n<!-- end " + name + " -->\nbetween\n";
   }
-  const std::string file = bench.Write("page.md", page);
+  const std::string file = program.Write("page.md", page);
   EXPECT_EQ(Capacity({"--page", file, "--check"}), 1);
-  ASSERT_EQ(Capacity({"--page", file, "--write"}), 0) << bench.error;
-  std::string written = Slurp(file);
+  ASSERT_EQ(Capacity({"--page", file, "--write"}), 0) << program.error;
+  std::string written = ReadFile(file);
   EXPECT_EQ(written.substr(0, 7), "Before\n");
-  EXPECT_EQ(Capacity({"--page", file, "--check"}), 0) << bench.error;
+  EXPECT_EQ(Capacity({"--page", file, "--check"}), 0) << program.error;
   const std::size_t digit = written.find("21100", written.find("table roles"));
   ASSERT_NE(digit, std::string::npos);
   written[digit] = '3';
-  bench.Write("page.md", written);
+  program.Write("page.md", written);
   EXPECT_EQ(Capacity({"--page", file, "--check"}), 1);
-  EXPECT_EQ(bench.error, "rookhub_scale: " + file + ": table roles: differs from the results\n");
-  bench.Write("page.md", "none\n");
+  EXPECT_EQ(program.error, "rookhub_scale: " + file + ": table roles: differs from the results\n");
+  program.Write("page.md", "none\n");
   EXPECT_EQ(Capacity({"--page", file, "--write"}), 2);
-  EXPECT_EQ(Slurp(file), "none\n");
+  EXPECT_EQ(ReadFile(file), "none\n");
 }
 
-// What nothing limits is shown for its size, and is never the worst.
-TEST_F(ScaleCapacity, RanksNoFigureWithoutABudget) {
-  bench.Write("roles.toml", std::string(kRoles) + R"toml(
+// Figures without a budget are shown, but are never the worst of a role.
+TEST_F(ScaleCapacity, DoesNotRankFiguresWithoutABudget) {
+  program.Write("roles.toml", std::string(kRoles) + R"toml(
 [[row]]
 role = "sidecar"
 figure = "messages in"
@@ -208,37 +215,38 @@
 when = "ordinary"
 formula = "servers * 1000"
 )toml");
-  ASSERT_EQ(Capacity(), 0) << bench.error;
-  Has("| sidecar | messages in | ordinary | 14000000 | - | messages/s | - | nothing measured |");
-  Has("| 1 | sidecar | memory | ordinary |");
-  Has("| 0.53 to 2.105 (sidecar, memory, ordinary) |");
+  ASSERT_EQ(Capacity(), 0) << program.error;
+  ExpectOutput("| sidecar | messages in | ordinary | 14000000 | - | messages/s | - | nothing measured |");
+  ExpectOutput("| 1 | sidecar | memory | ordinary |");
+  ExpectOutput("| 0.53 to 2.105 (sidecar, memory, ordinary) |");
 }
 
-TEST_F(ScaleCapacity, ShowsHowFarRunsAgree) {
-  ASSERT_EQ(Capacity(), 0) << bench.error;
-  Has("<!-- table agreement -->\nOne result alone: nothing to compare.\n");
+TEST_F(ScaleCapacity, ComparesTheDemandsOfTwoRuns) {
+  ASSERT_EQ(Capacity(), 0) << program.error;
+  ExpectOutput("<!-- table agreement -->\nOne result alone: nothing to compare.\n");
   const std::string scenario = "name = \"a\"\nrepeats = 2\n[[step]]\nkind = \"fake\"\n";
-  ASSERT_EQ(bench.Run(scenario, "first-2"), 0);
-  ASSERT_EQ(bench.Run(scenario + "bytes = 3.2\n", "second"), 0);
-  ASSERT_EQ(bench.Run(scenario + "bytes = 6\n", "third"), 0);
-  ASSERT_EQ(bench.Run("name = \"a\"\n[[step]]\nkind = \"fake\"\nlisted = [10]\n", "few"), 0);
-  const std::vector<std::string> files = {"--targets", bench.folder / "targets.toml", "--roles",
-                                          bench.folder / "roles.toml"};
+  ASSERT_EQ(program.Run(scenario, "first-2"), 0);
+  ASSERT_EQ(program.Run(scenario + "bytes = 3.2\n", "second"), 0);
+  ASSERT_EQ(program.Run(scenario + "bytes = 6\n", "third"), 0);
+  ASSERT_EQ(program.Run("name = \"a\"\n[[step]]\nkind = \"fake\"\nlisted = [10]\n", "few"), 0);
+  const std::vector<std::string> files = {"--targets", program.folder / "targets.toml", "--roles",
+                                          program.folder / "roles.toml"};
   const auto compare = [&](const char* later) {
-    std::vector<std::string> all = {"capacity", bench.folder / "first-2", bench.folder / later};
+    std::vector<std::string> all = {"capacity", program.folder / "first-2", program.folder / later};
     all.insert(all.end(), files.begin(), files.end());
-    return bench.Call(all);
+    return program.Call(all);
   };
-  ASSERT_EQ(compare("second"), 0) << bench.error;
-  // 1.05 * (100 + 3 * 7000), and 3.2 in place of 3: within the tenth between the repeats.
-  Has("| sidecar | memory | ordinary | 22155 | 23625 | 1.066 | none |");
-  ASSERT_EQ(compare("third"), 0) << bench.error;
-  Has("| sidecar | memory | ordinary | 22155 | 44205 | 1.995 | fake.memory_bytes.listed |");
-  ASSERT_EQ(compare("few"), 0) << bench.error;
-  Has("| sidecar | memory | ordinary | 22155 | - | - | not in both |");
+  ASSERT_EQ(compare("second"), 0) << program.error;
+  // 1.05 * (100 + 3 * 7000), and the same with 3.2 instead of 3. The difference is within the spread of the
+  // repeats, which is a tenth.
+  ExpectOutput("| sidecar | memory | ordinary | 22155 | 23625 | 1.066 | none |");
+  ASSERT_EQ(compare("third"), 0) << program.error;
+  ExpectOutput("| sidecar | memory | ordinary | 22155 | 44205 | 1.995 | fake.memory_bytes.listed |");
+  ASSERT_EQ(compare("few"), 0) << program.error;
+  ExpectOutput("| sidecar | memory | ordinary | 22155 | - | - | not in both |");
 }
 
-TEST_F(ScaleCapacity, TellsFileAndKeyOfWhatHasNoValue) {
+TEST_F(ScaleCapacity, ReportsFileAndKeyOfAFormulaWithoutAValue) {
   const std::vector<std::pair<std::string, std::string>> bad = {
       {"serves * 2", "row[1].formula: serves is not known"},
       {"slope.fake.memory.listed", "row[1].formula: slope.fake.memory.listed was not measured"},
@@ -249,33 +257,33 @@
       {"1 +", "row[1].formula: a value is missing"},
   };
   const std::string formula = "line.fake.memory_bytes.listed(listed)";
-  for (const auto& [instead, told] : bad) {
+  for (const auto& [formula_text, message] : bad) {
     std::string roles = kRoles;
-    bench.Write("roles.toml", roles.replace(roles.find(formula), formula.size(), instead));
+    program.Write("roles.toml", roles.replace(roles.find(formula), formula.size(), formula_text));
     EXPECT_EQ(Capacity(), 2);
-    const std::string start = "rookhub_scale: " + (bench.folder / "roles.toml").string() + ": " + told;
-    EXPECT_EQ(bench.error.substr(0, start.size()), start);
+    const std::string start = "rookhub_scale: " + (program.folder / "roles.toml").string() + ": " + message;
+    EXPECT_EQ(program.error.substr(0, start.size()), start);
   }
 }
 
-TEST_F(ScaleCapacity, TellsAFormulaThatRestsOnItselfAndABudgetOfNone) {
+TEST_F(ScaleCapacity, RejectsCircularFormulasZeroBudgetsAndBadTargets) {
   std::string roles = kRoles;
-  bench.Write("roles.toml", roles.replace(roles.find("servers * listed_share"), 22, "listed * 2"));
+  program.Write("roles.toml", roles.replace(roles.find("servers * listed_share"), 22, "listed * 2"));
   EXPECT_EQ(Capacity(), 2);
-  EXPECT_NE(bench.error.find("row[1].formula: listed: listed rests on itself"), std::string::npos)
-      << bench.error;
+  EXPECT_NE(program.error.find("row[1].formula: listed: listed depends on itself"), std::string::npos)
+      << program.error;
   roles = kRoles;
-  bench.Write("roles.toml", roles.replace(roles.find("memory / 2"), 10, "memory - memory"));
+  program.Write("roles.toml", roles.replace(roles.find("memory / 2"), 10, "memory - memory"));
   EXPECT_EQ(Capacity(), 2);
-  EXPECT_NE(bench.error.find("row[2].budget: must be above 0"), std::string::npos) << bench.error;
-  bench.Write("roles.toml", std::string("[formulas]\nservers = \"2\"") + std::string(kRoles).substr(11));
+  EXPECT_NE(program.error.find("row[2].budget: must be above 0"), std::string::npos) << program.error;
+  program.Write("roles.toml", std::string("[formulas]\nservers = \"2\"") + std::string(kRoles).substr(11));
   EXPECT_EQ(Capacity(), 2);
-  EXPECT_NE(bench.error.find("formulas.servers: is a name of the targets file too"), std::string::npos)
-      << bench.error;
-  bench.Write("targets.toml", std::string(kTargets) + "other = 4\n");
+  EXPECT_NE(program.error.find("formulas.servers: is also a name in the targets file"), std::string::npos)
+      << program.error;
+  program.Write("targets.toml", std::string(kTargets) + "other = 4\n");
   EXPECT_EQ(Capacity(), 2);
-  EXPECT_NE(bench.error.find("assumptions.other: an assumption needs its reason"), std::string::npos)
-      << bench.error;
+  EXPECT_NE(program.error.find("assumptions.other: an assumption needs a reason"), std::string::npos)
+      << program.error;
 }
 
 }  // namespace
--- a/tests/scale/child_test.cpp
+++ b/tests/scale/child_test.cpp
@@ -1,4 +1,5 @@
-// Children are started as told, and end with their object and with their owner.
+// Child processes run with the given arguments, and are killed when their object is destroyed or their parent
+// dies.
 #include "scale/child.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
 
 using namespace std::chrono_literals;
 
-bool Runs(pid_t pid) {
+bool IsRunning(pid_t pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   std::string text;
   std::getline(file, text);
@@ -25,8 +26,8 @@
 
 bool EndsSoon(pid_t pid) {
   const auto end = std::chrono::steady_clock::now() + 20s;
-  while (Runs(pid) && std::chrono::steady_clock::now() < end) std::this_thread::sleep_for(5ms);
-  return !Runs(pid);
+  while (IsRunning(pid) && std::chrono::steady_clock::now() < end) std::this_thread::sleep_for(5ms);
+  return !IsRunning(pid);
 }
 
 Child::Options Shell(const std::string& script) {
@@ -47,7 +48,7 @@
   EXPECT_EQ(WEXITSTATUS(*status), 7);
 }
 
-TEST(Child, AProgramThatIsNotThereEndsWithStatus127) {
+TEST(Child, AMissingProgramEndsWithStatus127) {
   Child::Options options;
   options.program = "/nonexistent/program";
   Child child(options);
@@ -56,40 +57,40 @@
   EXPECT_EQ(WEXITSTATUS(*status), 127);
 }
 
-TEST(Child, IsEndedWithItsObject) {
+TEST(Child, IsKilledByTheDestructor) {
   pid_t pid = 0;
   {
     Child child(Shell("while :; do sleep 1; done"));
     pid = child.pid();
-    EXPECT_TRUE(Runs(pid));
+    EXPECT_TRUE(IsRunning(pid));
     EXPECT_FALSE(child.Wait(0s));
   }
-  EXPECT_FALSE(Runs(pid));
+  EXPECT_FALSE(IsRunning(pid));
 }
 
-TEST(Child, IsEndedWithItsOwner) {
-  // A fork of this process is the owner of a child, tells its pid, and is killed.
-  int line[2];
-  ASSERT_EQ(::pipe(line), 0);
+TEST(Child, IsKilledWhenItsOwnerDies) {
+  // A fork of this process starts a child, writes its pid to a pipe, and is then killed.
+  int pipe_fds[2];
+  ASSERT_EQ(::pipe(pipe_fds), 0);
   const pid_t owner = ::fork();
   ASSERT_GE(owner, 0);
   if (owner == 0) {
     const Child child(Shell("while :; do sleep 1; done"));
     const pid_t pid = child.pid();
-    if (::write(line[1], &pid, sizeof pid) != sizeof pid) ::_exit(1);
+    if (::write(pipe_fds[1], &pid, sizeof pid) != sizeof pid) ::_exit(1);
     for (;;) ::pause();
   }
   pid_t pid = 0;
-  ASSERT_EQ(::read(line[0], &pid, sizeof pid), static_cast<ssize_t>(sizeof pid));
-  EXPECT_TRUE(Runs(pid));
+  ASSERT_EQ(::read(pipe_fds[0], &pid, sizeof pid), static_cast<ssize_t>(sizeof pid));
+  EXPECT_TRUE(IsRunning(pid));
   ::kill(owner, SIGKILL);
   ::waitpid(owner, nullptr, 0);
   EXPECT_TRUE(EndsSoon(pid));
-  ::close(line[0]);
-  ::close(line[1]);
+  ::close(pipe_fds[0]);
+  ::close(pipe_fds[1]);
 }
 
-TEST(Child, TellsItsCpuAndMemory) {
+TEST(Child, ReportsItsCpuTimeAndMemory) {
   Child child(Shell("while :; do :; done"));
   const auto end = std::chrono::steady_clock::now() + 20s;
   while (child.cpu_us() < 1000 && std::chrono::steady_clock::now() < end) std::this_thread::sleep_for(5ms);
--- a/tests/scale/fake_steps.hpp
+++ b/tests/scale/fake_steps.hpp
@@ -1,4 +1,5 @@
-// Steps for the tests of the frame: they count how often they run and do what their table says.
+// Fake steps, and a fixture for running the program in the process of the test. The steps count their runs;
+// their parameters select what they do.
 #ifndef MERLINRUN_TESTS_SCALE_FAKE_STEPS_HPP_
 #define MERLINRUN_TESTS_SCALE_FAKE_STEPS_HPP_
 
@@ -19,28 +20,28 @@
 namespace merlinrun::scale::testing {
 
 inline int steps_run = 0;
-inline bool stop_asked = false;
+inline bool stop_requested = false;
 inline std::filesystem::path scratch_seen;
-inline std::vector<int> repeats_seen;  // by each step that ran
+inline std::vector<int> repeats_seen;  // of each step that ran, in order
 
-// Records memory = 100 + 3 * listed at each size, and a tenth more in each repeat; may fail, or be
-// interrupted, after the first.
+// Records memory = 100 + bytes * listed at each size, and a tenth more in each repeat. With "ends" set, it
+// fails or is interrupted after the first size.
 class FakeStep : public Step {
  public:
   explicit FakeStep(Parameters& parameters)
       : listed_(parameters.Integers("listed", {1, 10, 100, 1000}, 1, 14000)),
         share_(parameters.Number("share", 0.5, 0, 1)),
         bytes_(parameters.Number("bytes", 3, 0, 100)),
-        word_(parameters.Word("ends", "")) {
+        ending_(parameters.Word("ends", "")) {
     parameters.Flag("verbose", false);
-    needs_.descriptors = static_cast<std::size_t>(parameters.Integer("descriptors", 0, 0, 1LL << 40));
-    needs_.ports = static_cast<std::size_t>(parameters.Integer("ports", 0, 0, 1LL << 40));
-    needs_.processes = static_cast<std::size_t>(parameters.Integer("processes", 0, 0, 1LL << 40));
-    needs_.memory_mb = parameters.Number("memory_mb", 0, 0, 1e12);
-    if (word_ == "badly") parameters.Reject("ends", "must not end badly");
+    requirements_.descriptors = static_cast<std::size_t>(parameters.Integer("descriptors", 0, 0, 1LL << 40));
+    requirements_.ports = static_cast<std::size_t>(parameters.Integer("ports", 0, 0, 1LL << 40));
+    requirements_.processes = static_cast<std::size_t>(parameters.Integer("processes", 0, 0, 1LL << 40));
+    requirements_.memory_mb = parameters.Number("memory_mb", 0, 0, 1e12);
+    if (ending_ == "badly") parameters.Reject("ends", "must not end badly");
   }
 
-  Needs Requires() const override { return needs_; }
+  Needs Requires() const override { return requirements_; }
 
   void Run(Context& context) override {
     ++steps_run;
@@ -53,8 +54,8 @@
         const double memory = (100 + bytes_ * size) * (1 + 0.1 * repeat);
         context.recorder.Add({"fake", {{"listed", size}}, {{"memory_bytes", memory}}, repeat});
       }
-      if (word_ == "thrown") throw std::runtime_error("no luck\nin " + context.scratch.string());
-      if (word_ == "stopped") stop_asked = true;
+      if (ending_ == "thrown") throw std::runtime_error("no luck\nin " + context.scratch.string());
+      if (ending_ == "stopped") stop_requested = true;
       if (context.should_stop()) return;
     }
   }
@@ -63,8 +64,8 @@
   std::vector<std::int64_t> listed_;
   double share_;
   double bytes_;
-  std::string word_;
-  Needs needs_;
+  std::string ending_;
+  Needs requirements_;
 };
 
 inline std::unique_ptr<Step> MakeFake(Parameters& parameters) {
@@ -73,26 +74,27 @@
 
 inline const std::map<std::string, StepFactory> kFakeKinds = {{"fake", MakeFake}, {"other", MakeFake}};
 
-inline std::string Slurp(const std::filesystem::path& file) {
+inline std::string ReadFile(const std::filesystem::path& file) {
   std::ostringstream text;
   text << std::ifstream(file).rdbuf();
   return text.str();
 }
 
-// A folder of its own for each test, and the program called in it with what it says taken.
-class Bench {
+// A temporary folder for a test. Runs the program in it, and captures what it writes to standard output and
+// error.
+class ProgramFixture {
  public:
-  Bench() {
+  ProgramFixture() {
     std::string name = (std::filesystem::temp_directory_path() / "scale_test.XXXXXX").string();
     if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("mkdtemp");
     folder = name;
     steps_run = 0;
     repeats_seen.clear();
-    stop_asked = false;
+    stop_requested = false;
   }
-  ~Bench() { std::filesystem::remove_all(folder); }
-  Bench(const Bench&) = delete;
-  Bench& operator=(const Bench&) = delete;
+  ~ProgramFixture() { std::filesystem::remove_all(folder); }
+  ProgramFixture(const ProgramFixture&) = delete;
+  ProgramFixture& operator=(const ProgramFixture&) = delete;
 
   std::string Write(const std::string& name, const std::string& text) const {
     std::ofstream(folder / name) << text;
@@ -101,17 +103,18 @@
 
   int Call(std::vector<std::string> arguments) const;
 
-  int Run(const std::string& scenario, const std::string& to,
-          const std::vector<std::string>& more = {}) const {
-    std::vector<std::string> all = {
-        "run", Write("scenario.toml", scenario), "--out", (folder / to).string(), "--sidecar", "/bin/true"};
-    all.insert(all.end(), more.begin(), more.end());
+  int Run(const std::string& scenario, const std::string& folder_name,
+          const std::vector<std::string>& extra = {}) const {
+    std::vector<std::string> all = {"run",       Write("scenario.toml", scenario),
+                                    "--out",     (folder / folder_name).string(),
+                                    "--sidecar", "/bin/true"};
+    all.insert(all.end(), extra.begin(), extra.end());
     return Call(all);
   }
 
   std::filesystem::path folder;
-  mutable std::string out;    // of the last call
-  mutable std::string error;  // of the last call
+  mutable std::string out;    // standard output of the last call
+  mutable std::string error;  // standard error of the last call
 };
 
 }  // namespace merlinrun::scale::testing
--- a/tests/scale/main.cpp
+++ b/tests/scale/main.cpp
@@ -1,4 +1,4 @@
-// The tests start this program again as their children.
+// Tests start this program again as a child process, which RunAsChild() handles.
 #include <gtest/gtest.h>
 
 #include "scale/run_as_child.hpp"
--- a/tests/scale/real_steps_test.cpp
+++ b/tests/scale/real_steps_test.cpp
@@ -1,4 +1,5 @@
-// The steps on real sidecars, at their smallest: what they record, and that they stop.
+// Runs the steps that use real sidecars at small sizes: checks the figures that they record, and that they
+// stop when interrupted.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -22,26 +23,27 @@
 
 namespace asio = net::asio;
 
-class Kept : public Recorder {
+class SampleRecorder : public Recorder {
  public:
   void Add(Sample sample) override { samples.push_back(std::move(sample)); }
   std::vector<Sample> samples;
 };
 
-// What is not set has its standard value.
-class GivenParameters : public Parameters {
+// Returns default values for parameters that are not given.
+class FakeParameters : public Parameters {
  public:
-  explicit GivenParameters(std::map<std::string, double> numbers, std::vector<std::int64_t> sizes)
+  explicit FakeParameters(std::map<std::string, double> numbers, std::vector<std::int64_t> sizes)
       : numbers_(std::move(numbers)), sizes_(std::move(sizes)) {}
-  std::int64_t Integer(const std::string& key, std::int64_t standard, std::int64_t, std::int64_t) override {
-    return static_cast<std::int64_t>(Number(key, static_cast<double>(standard), 0, 0));
+  std::int64_t Integer(const std::string& key, std::int64_t default_value, std::int64_t,
+                       std::int64_t) override {
+    return static_cast<std::int64_t>(Number(key, static_cast<double>(default_value), 0, 0));
   }
-  double Number(const std::string& key, double standard, double, double) override {
+  double Number(const std::string& key, double default_value, double, double) override {
     const auto it = numbers_.find(key);
-    return it == numbers_.end() ? standard : it->second;
+    return it == numbers_.end() ? default_value : it->second;
   }
-  bool Flag(const std::string&, bool standard) override { return standard; }
-  std::string Word(const std::string&, const std::string& standard) override { return standard; }
+  bool Flag(const std::string&, bool default_value) override { return default_value; }
+  std::string Word(const std::string&, const std::string& default_value) override { return default_value; }
   std::vector<std::int64_t> Integers(const std::string&, const std::vector<std::int64_t>&, std::int64_t,
                                      std::int64_t) override {
     return sizes_;
@@ -63,18 +65,18 @@
   }
   ~RealStepsTest() override { std::filesystem::remove_all(scratch); }
 
-  std::vector<Sample> Play(const std::string& kind, std::map<std::string, double> numbers,
-                           std::vector<std::int64_t> sizes) {
-    GivenParameters parameters(std::move(numbers), std::move(sizes));
+  std::vector<Sample> RunStep(const std::string& kind, std::map<std::string, double> numbers,
+                              std::vector<std::int64_t> sizes) {
+    FakeParameters parameters(std::move(numbers), std::move(sizes));
     const std::unique_ptr<Step> step = StepKinds().at(kind)(parameters);
     EXPECT_GT(step->Requires().descriptors, 0u);
     EXPECT_GT(step->Requires().processes, 0u);
-    Kept kept;
-    Context context{kept, 7, 1, FENNELHOLLOW_PROGRAM, {}, scratch, [this] { return stop; }};
+    SampleRecorder recorder;
+    Context context{recorder, 7, 1, FENNELHOLLOW_PROGRAM, {}, scratch, [this] { return stop; }};
     step->Run(context);
-    return kept.samples;
+    return recorder.samples;
   }
-  // Quantiles of few calls are left out, and so are not among these.
+  // Quantiles need enough calls, so tests with few calls cannot expect all of them.
   static void ExpectFigures(const Sample& sample, const std::vector<std::string>& names) {
     for (const std::string& name : names) EXPECT_EQ(sample.figures.count(name), 1u) << name;
     for (const auto& [name, value] : sample.figures) EXPECT_TRUE(std::isfinite(value)) << name;
@@ -84,8 +86,8 @@
   bool stop = false;
 };
 
-TEST_F(RealStepsTest, CallRatePassesAllCallsThroughTheSidecar) {
-  const auto samples = Play(
+TEST_F(RealStepsTest, CallRateSendsAllCallsThroughTheSidecar) {
+  const auto samples = RunStep(
       "call_rate", {{"slice_s", 0.2}, {"idle_s", 0.1}, {"calls_per_reading", 40}, {"servers", 3}}, {50, 100});
   ASSERT_EQ(samples.size(), 2u);
   EXPECT_EQ(samples[0].conditions, (std::map<std::string, double>{{"calls_per_s", 50}}));
@@ -98,7 +100,7 @@
 }
 
 TEST_F(RealStepsTest, ChainsOfSidecarsServeAllCalls) {
-  const auto samples = Play(
+  const auto samples = RunStep(
       "chain", {{"slice_s", 0.2}, {"idle_s", 0.1}, {"calls_per_reading", 40}, {"calls_per_s", 100}}, {1, 3});
   ASSERT_EQ(samples.size(), 2u);
   EXPECT_EQ(samples[1].conditions, (std::map<std::string, double>{{"depth", 3}}));
@@ -112,20 +114,21 @@
   }
 }
 
-TEST_F(RealStepsTest, HollowAndRealSidecarsAreReadAlike) {
-  const auto samples = Play("hollow_and_real", {{"idle_s", 0.2}, {"changes", 4}, {"hollow", 2}}, {50});
+TEST_F(RealStepsTest, SimulatedAndRealSidecarsRecordTheSameFigures) {
+  const auto samples = RunStep("hollow_and_real", {{"idle_s", 0.2}, {"changes", 4}, {"hollow", 2}}, {50});
   ASSERT_EQ(samples.size(), 2u);
   EXPECT_EQ(samples[0].conditions, (std::map<std::string, double>{{"listed", 50}, {"real", 0}}));
   EXPECT_EQ(samples[1].conditions, (std::map<std::string, double>{{"listed", 50}, {"real", 1}}));
   for (const Sample& sample : samples)
     ExpectFigures(sample, {"memory_bytes_per_sidecar", "start_cpu_us", "start_bytes_in", "cpu_us_per_change",
                            "idle_cpu_us_per_s"});
-  EXPECT_GT(samples[0].figures.at("start_bytes_in"), 50 * 100);  // over a hundred bytes for each server
+  // The list has more than 100 bytes for each server.
+  EXPECT_GT(samples[0].figures.at("start_bytes_in"), 50 * 100);
   EXPECT_GT(samples[1].figures.at("start_bytes_in"), 50 * 100);
 }
 
-TEST_F(RealStepsTest, SidecarsAreLoadedAllAtOnce) {
-  const auto samples = Play(
+TEST_F(RealStepsTest, AllSidecarsAreLoadedAtTheSameTime) {
+  const auto samples = RunStep(
       "sidecars",
       {{"slice_s", 0.3}, {"idle_s", 0.1}, {"calls_per_reading", 60}, {"servers", 3}, {"calls_per_s", 40}},
       {1, 4});
@@ -141,22 +144,22 @@
 }
 
 TEST_F(RealStepsTest, AReloadLosesNoCallAndLeavesNoWatchBehind) {
-  const auto samples = Play("reload", {{"load_s", 0.3}, {"servers", 3}, {"calls_per_s", 40}}, {1, 3});
+  const auto samples = RunStep("reload", {{"load_s", 0.3}, {"servers", 3}, {"calls_per_s", 40}}, {1, 3});
   ASSERT_EQ(samples.size(), 2u);
   for (const Sample& sample : samples) {
     ExpectFigures(sample, {"watching_p50_ms", "watching_last_ms", "in_force_p50_ms", "in_force_last_ms",
                            "cpu_us_per_reload", "discovery_bytes_out_per_reload"});
-    EXPECT_EQ(sample.figures.count("watching_p99_ms"), 0u);  // of so few
+    EXPECT_EQ(sample.figures.count("watching_p99_ms"), 0u);  // too few reloads for this quantile
     EXPECT_EQ(sample.figures.at("watches"), sample.conditions.at("sidecars"));
     EXPECT_EQ(sample.figures.at("watches_left_behind"), 0);
-    EXPECT_EQ(sample.figures.at("discovery_calls_per_reload"), 2);  // the whole list, then the watch
+    EXPECT_EQ(sample.figures.at("discovery_calls_per_reload"), 2);  // the full list, then the watch
     EXPECT_GT(sample.figures.at("calls"), 0);
     EXPECT_EQ(sample.figures.at("unserved_calls"), 0);
   }
 }
 
-TEST_F(RealStepsTest, CallersSideBySideEachHaveASidecar) {
-  const auto samples = Play(
+TEST_F(RealStepsTest, EachOfSeveralCallersHasItsOwnSidecar) {
+  const auto samples = RunStep(
       "call_rate",
       {{"slice_s", 0.3}, {"idle_s", 0.1}, {"calls_per_reading", 60}, {"servers", 3}, {"sidecars", 3}}, {100});
   ASSERT_EQ(samples.size(), 1u);
@@ -164,14 +167,14 @@
   EXPECT_EQ(samples[0].figures.at("unserved_calls"), 0);
 }
 
-TEST_F(RealStepsTest, BadSizesAreToldWithFileAndKeyBeforeAnythingStarts) {
+TEST_F(RealStepsTest, InvalidSizesAreReportedWithFileAndKey) {
   const std::filesystem::path file = scratch / "bad.toml";
   for (const std::string kind : {"sidecars", "reload"}) {
     for (const std::string sizes : {"[2, 251]", "[0]", "[]", "\"many\""}) {
       std::ofstream(file) << "name = \"bad\"\n[[step]]\nkind = \"" + kind + "\"\nsidecars = " + sizes + "\n";
       try {
         LoadScenario(file, StepKinds(), {});
-        ADD_FAILURE() << kind << " takes " << sizes;
+        ADD_FAILURE() << kind << " accepts " << sizes;
       } catch (const ScenarioError& error) {
         const std::string what = error.what();
         EXPECT_EQ(what.find(file.string() + ": step[1].sidecars: "), 0u) << what;
@@ -181,14 +184,14 @@
   }
 }
 
-TEST_F(RealStepsTest, AnInterruptedStepRecordsNoHalfReading) {
+TEST_F(RealStepsTest, AnInterruptedStepRecordsNoIncompleteSample) {
   stop = true;
   for (const char* kind : {"call_rate", "chain", "hollow_and_real", "sidecars", "reload"})
-    EXPECT_TRUE(Play(kind, {}, {10}).empty()) << kind;
+    EXPECT_TRUE(RunStep(kind, {}, {10}).empty()) << kind;
 }
 
-// Calls go to the servers that discovery lists, through the sidecar alone.
-TEST_F(RealStepsTest, ASidecarPassesCallsOnToSeveralServersOfItsService) {
+// Calls are sent to the sidecar only, which forwards them to the servers that discovery lists.
+TEST_F(RealStepsTest, ASidecarForwardsCallsToSeveralServersOfItsService) {
   asio::io_context io(1);
   const Service service(io, Alike({}, 4));
   RealSidecar sidecar({FENNELHOLLOW_PROGRAM, scratch, "n0", service.discovery(), 1});
@@ -218,7 +221,7 @@
   EXPECT_THROW(sidecar.AwaitReady(io), std::runtime_error);
 }
 
-TEST(PairedRunTest, CallsThatFailVoidTheReading) {
+TEST(PairedRunTest, FailedCallsInvalidateTheMeasurement) {
   asio::io_context io(1);
   Service service(io, Alike({}, 2));
   service.servers().front()->Drain();
@@ -234,7 +237,7 @@
                std::runtime_error);
 }
 
-TEST(PairedRunTest, TurnsHoldTheCallsThatAReadingNeeds) {
+TEST(PairedRunTest, TurnsCoverTheCallsThatAMeasurementNeeds) {
   PairedPlan plan;
   plan.slice = std::chrono::seconds(2);
   plan.calls = 1000;
--- a/tests/scale/smoke_test.cpp
+++ b/tests/scale/smoke_test.cpp
@@ -1,4 +1,4 @@
-// The smoke scenario through the program itself: every kind of step once, with nothing lost on the way.
+// Runs the smoke scenario with the built program: every kind of step once, without lost calls or changes.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -13,33 +13,33 @@
 namespace merlinrun::scale {
 namespace {
 
-class Folder {
+class TemporaryFolder {
  public:
-  Folder() {
+  TemporaryFolder() {
     std::string name = (std::filesystem::temp_directory_path() / "rookhub-smoke-XXXXXX").string();
     if (::mkdtemp(name.data()) != nullptr) path_ = name;
   }
-  ~Folder() {
+  ~TemporaryFolder() {
     std::error_code ignored;
     std::filesystem::remove_all(path_, ignored);
   }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
   const std::filesystem::path& path() const { return path_; }
 
  private:
   std::filesystem::path path_;
 };
 
-TEST(Smoke, EveryKindOfStepIsPlayedAndNothingIsLost) {
-  const Folder folder;
+TEST(Smoke, EveryKindOfStepRunsAndNothingIsLost) {
+  const TemporaryFolder folder;
   ASSERT_FALSE(folder.path().empty());
   Child::Options options;
   options.program = ROOKHUB_SCALE_PROGRAM;
   options.arguments = {"run",       SMOKE_SCENARIO,       "--out",   folder.path() / "result",
                        "--sidecar", FENNELHOLLOW_PROGRAM, "--relay", ROOKHUB_RELAY_PROGRAM};
   Child run(options);
-  const auto status = run.Wait(std::chrono::minutes(10));  // so long only where all is slow
+  const auto status = run.Wait(std::chrono::minutes(10));  // only slow machines need that long
   ASSERT_TRUE(status.has_value());
   ASSERT_TRUE(WIFEXITED(*status));
   EXPECT_EQ(WEXITSTATUS(*status), 0);
@@ -49,26 +49,28 @@
   std::map<std::string, int> samples;
   for (const Sample& sample : result.samples) {
     ++samples[sample.measure];
-    const auto is = [&](const char* figure, double value) {
-      const auto at = sample.figures.find(figure);
-      if (at == sample.figures.end()) return;
-      EXPECT_EQ(at->second, value) << sample.measure << ", " << figure;
+    const auto expect_figure = [&](const char* figure, double value) {
+      const auto found = sample.figures.find(figure);
+      if (found == sample.figures.end()) return;
+      EXPECT_EQ(found->second, value) << sample.measure << ", " << figure;
     };
-    is("unserved_calls", 0);
-    is("refused", 0);
-    is("relay_refused", 0);
+    expect_figure("unserved_calls", 0);
+    expect_figure("refused", 0);
+    expect_figure("relay_refused", 0);
     const auto relays = sample.conditions.find("relays");
     if (sample.measure == "fan_out") {
-      is("upstream_watches", relays->second > 0 ? relays->second : sample.conditions.at("watches"));
+      expect_figure("upstream_watches",
+                    relays->second > 0 ? relays->second : sample.conditions.at("watches"));
     }
-    if (sample.measure == "fan_out_restart" && relays->second > 0) is("upstream_calls", 0);
-    // Each change is in force at each sidecar, those that were started anew aside.
+    if (sample.measure == "fan_out_restart" && relays->second > 0) expect_figure("upstream_calls", 0);
+    // Each change takes effect at each sidecar. A restart of a region is left out, as it starts sidecars
+    // anew.
     if (sample.measure.rfind("play_", 0) == 0 && sample.measure != "play_region_restart")
-      is("in_force_count", sample.figures.at("changes") * sample.conditions.at("sidecars"));
+      expect_figure("in_force_count", sample.figures.at("changes") * sample.conditions.at("sidecars"));
     if (sample.measure == "play_rack" || sample.measure == "play_zone") {
       for (const std::string phase : {"lost", "back"})
-        is((phase + "_in_force_count").c_str(),
-           sample.figures.at(phase + "_changes") * sample.conditions.at("sidecars"));
+        expect_figure((phase + "_in_force_count").c_str(),
+                      sample.figures.at(phase + "_changes") * sample.conditions.at("sidecars"));
     }
   }
   const std::map<std::string, int> expected = {{"list_size", 2},
