--- a/scale/change_rate.cpp
+++ b/scale/change_rate.cpp
@@ -1,4 +1,4 @@
-// What changes take at sidecars and at discovery by how often they come.
+// Step "change_rate": the cost of changes for sidecars and for discovery by the rate of changes.
 #include <cstdint>
 #include <vector>
 
@@ -18,40 +18,43 @@
         fleets_(parameters.Integer("processes", 4, 1, 64)),
         seconds_(parameters.Number("seconds", 8, 0.5, 600)) {}
 
-  Needs Requires() const override { return DiscoveryRig::Requires({listed_, regions_, fleets_}, sidecars_); }
+  Needs Requires() const override {
+    return DiscoveryTestBed::Requirements({listed_, regions_, fleets_}, sidecars_);
+  }
 
   void Run(Context& context) override {
-    ReadEach(context, rates_, [&](std::int64_t rate, int repeat) { Read(context, rate, repeat); });
+    MeasureEach(context, rates_, [&](std::int64_t rate, int repeat) { Measure(context, rate, repeat); });
   }
 
  private:
-  void Read(Context& context, std::int64_t rate, int repeat) const {
-    DiscoveryRig rig(context, {listed_, regions_, fleets_});
-    const auto first = rig.Counts().at("generation").get<std::int64_t>();
-    rig.Add(sidecars_);
-    rig.AwaitWatches();
-    const std::int64_t cpu = rig.FleetFigure("cpu_us");
-    const auto before = rig.Counts();
-    rig.Tell({{"do", "drive"}, {"per_s", rate}, {"seed", context.seed + static_cast<std::uint64_t>(repeat)}});
-    rig.Pass(seconds_);
-    rig.Tell({{"do", "drive"}, {"per_s", 0}});
-    const auto driven = rig.Counts();
-    rig.AwaitForce(driven.at("generation").get<std::int64_t>());
-    const std::int64_t end_cpu = rig.FleetFigure("cpu_us");
-    const auto after = rig.Counts();
+  void Measure(Context& context, std::int64_t rate, int repeat) const {
+    DiscoveryTestBed test_bed(context, {listed_, regions_, fleets_});
+    const auto first = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
+    test_bed.AddSidecars(sidecars_);
+    test_bed.AwaitWatches();
+    const std::int64_t cpu = test_bed.SumOverFleets("cpu_us");
+    const auto before = test_bed.DiscoveryCounts();
+    test_bed.SendCommand(
+        {{"do", "drive"}, {"per_s", rate}, {"seed", context.seed + static_cast<std::uint64_t>(repeat)}});
+    test_bed.Wait(seconds_);
+    test_bed.SendCommand({{"do", "drive"}, {"per_s", 0}});
+    const auto driven = test_bed.DiscoveryCounts();
+    test_bed.AwaitEffect(driven.at("generation").get<std::int64_t>());
+    const std::int64_t end_cpu = test_bed.SumOverFleets("cpu_us");
+    const auto after = test_bed.DiscoveryCounts();
 
-    const double us = Gain(before, after, "at_us");
-    const auto changes = rig.ChangesSince(first);
+    const double us = Increase(before, after, "at_us");
+    const auto changes = test_bed.ChangesSince(first);
     Sample sample;
     sample.measure = "change_rate";
     sample.repeat = repeat;
     sample.conditions = {{"changes_per_s", static_cast<double>(rate)}};
     sample.figures = {
         {"sidecar_cpu_share", static_cast<double>(end_cpu - cpu) / us / static_cast<double>(sidecars_)},
-        {"discovery_cpu_share", Gain(before, after, "cpu_us") / us},
+        {"discovery_cpu_share", Increase(before, after, "cpu_us") / us},
         {"changes", static_cast<double>(changes.size())},
     };
-    AddSpread("in_force", rig.Force(changes), sample.figures);
+    AddDelays("in_force", test_bed.EffectDelays(changes), sample.figures);
     context.recorder.Add(std::move(sample));
   }
 
--- a/scale/change_size.cpp
+++ b/scale/change_size.cpp
@@ -1,4 +1,4 @@
-// What a change takes at a sidecar by the number of servers that it knows of.
+// Step "change_size": the cost of a change for a sidecar by the number of servers that it knows.
 #include <algorithm>
 #include <cstdint>
 #include <vector>
@@ -9,8 +9,8 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr double kBlankLineBytes = 6;  // as a chunk
-constexpr double kBetween_s = 0.01;    // changes: each is read alone
+constexpr double kHeartbeatBytes = 6;  // an empty line with the framing of its chunk
+constexpr double kPause_s = 0.01;      // between changes, so that each is read separately
 
 class ChangeSize : public Step {
  public:
@@ -21,37 +21,38 @@
         bulk_(parameters.Integer("bulk", 1000, 1, 50'000)) {}
 
   Needs Requires() const override {
-    return DiscoveryRig::Requires({*std::max_element(listed_.begin(), listed_.end())}, sidecars_);
+    return DiscoveryTestBed::Requirements({*std::max_element(listed_.begin(), listed_.end())}, sidecars_);
   }
 
   void Run(Context& context) override {
-    ReadEach(context, listed_, [&](std::int64_t listed, int repeat) { Read(context, listed, repeat); });
+    MeasureEach(context, listed_, [&](std::int64_t listed, int repeat) { Measure(context, listed, repeat); });
   }
 
  private:
-  void Read(Context& context, std::int64_t listed, int repeat) const {
-    DiscoveryRig rig(context, {listed});
-    rig.Add(sidecars_);
-    rig.AwaitWatches();
-    const auto before = rig.Counts();
-    const std::int64_t cpu = rig.FleetFigure("cpu_us");
+  void Measure(Context& context, std::int64_t listed, int repeat) const {
+    DiscoveryTestBed test_bed(context, {listed});
+    test_bed.AddSidecars(sidecars_);
+    test_bed.AwaitWatches();
+    const auto before = test_bed.DiscoveryCounts();
+    const std::int64_t cpu = test_bed.SumOverFleets("cpu_us");
     std::int64_t generation = 0;
     for (std::int64_t i = 0; i < changes_; ++i) {
       const char* const lifecycle = i / listed % 2 == 0 ? "draining" : "up";
-      generation = rig.Change({{"first", i % listed}, {"lifecycle", lifecycle}});
-      rig.Pass(kBetween_s);
+      generation = test_bed.ChangeServers({{"first", i % listed}, {"lifecycle", lifecycle}});
+      test_bed.Wait(kPause_s);
     }
-    rig.AwaitForce(generation);
-    const std::int64_t changed_cpu = rig.FleetFigure("cpu_us");
-    const auto after = rig.Counts();
+    test_bed.AwaitEffect(generation);
+    const std::int64_t changed_cpu = test_bed.SumOverFleets("cpu_us");
+    const auto after = test_bed.DiscoveryCounts();
     const std::int64_t entries = std::min(bulk_, listed);
-    const std::int64_t bulk_cpu = rig.FleetFigure("cpu_us");
-    rig.AwaitForce(rig.Change({{"first", 0}, {"count", entries}, {"lifecycle", "draining"}}));
-    const std::int64_t end_cpu = rig.FleetFigure("cpu_us");
+    const std::int64_t bulk_cpu = test_bed.SumOverFleets("cpu_us");
+    test_bed.AwaitEffect(
+        test_bed.ChangeServers({{"first", 0}, {"count", entries}, {"lifecycle", "draining"}}));
+    const std::int64_t end_cpu = test_bed.SumOverFleets("cpu_us");
 
     const auto all = static_cast<double>(sidecars_ * changes_);
     const double bytes =
-        Gain(before, after, "bytes_out") - kBlankLineBytes * Gain(before, after, "blank_lines");
+        Increase(before, after, "bytes_out") - kHeartbeatBytes * Increase(before, after, "blank_lines");
     Sample sample;
     sample.measure = "change_size";
     sample.repeat = repeat;
--- a/scale/discovery_connection.hpp
+++ b/scale/discovery_connection.hpp
@@ -1,4 +1,4 @@
-// A connection to the stand-in for discovery: its part alone.
+// A connection to the fake discovery. Used only by its implementation.
 #ifndef MERLINRUN_SCALE_DISCOVERY_CONNECTION_HPP_
 #define MERLINRUN_SCALE_DISCOVERY_CONNECTION_HPP_
 
@@ -17,7 +17,7 @@
 
 namespace merlinrun::scale {
 
-// One connection carries one call. Its owner holds it until it ends.
+// A connection that carries one call. The owner keeps it until it ends.
 class DiscoveryStandIn::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(DiscoveryStandIn& owner, std::size_t region, Tcp::socket socket)
@@ -27,42 +27,42 @@
     socket_.set_option(Tcp::no_delay(true), ignored);
   }
 
-  // The one call that it brings goes to the owner, who answers with Write or OpenWatch.
+  // Reads the request and passes it to the owner, which responds with Write, WriteLast or OpenWatch.
   void Read() {
-    inbox_ = std::make_unique<Inbox>();
-    net::http::async_read(socket_, inbox_->buffer, inbox_->parser,
+    request_ = std::make_unique<PendingRequest>();
+    net::http::async_read(socket_, request_->buffer, request_->parser,
                           [self = shared_from_this()](net::ErrorCode error, std::size_t n) {
                             if (self->owner_ == nullptr) return;
                             self->owner_->counts_.bytes_in += n;
                             if (error) return self->Close();
-                            const std::string target(self->inbox_->parser.get().target());
-                            self->inbox_.reset();  // a watch is long and keeps no more than it needs
-                            self->WaitForEnd();
+                            const std::string target(self->request_->parser.get().target());
+                            self->request_.reset();  // frees memory, as a watch may stay open for long
+                            self->WaitForClose();
                             self->owner_->OnCall(self, target);
                           });
   }
 
-  // Whole or, if the reader is slow, as it reads.
+  // Writes the frame at once or, if the peer reads slowly, as the socket accepts it.
   void Write(const FramePtr& frame) {
-    if (muted_ || broken_ || owner_ == nullptr) return;
+    if (muted_ || closing_ || owner_ == nullptr) return;
     Counts& counts = owner_->counts_;
     counts.objects += frame->objects;
-    counts.whole_lists += frame->whole_lists;
+    counts.full_lists += frame->full_lists;
     counts.entries += frame->entries;
-    counts.blank_lines += frame->blank_lines;
+    counts.heartbeats += frame->heartbeats;
     pending_.push_back(frame);
     if (pending_.size() == 1) return Flush();
-    if (pending_.size() > kMostPending) Break();
+    if (pending_.size() > kMaxPending) CloseLater();
   }
 
   void WriteLast(const FramePtr& frame) {
-    last_ = true;
+    last_frame_queued_ = true;
     Write(frame);
   }
 
   void OpenWatch(std::size_t slot, const FramePtr& first) {
     slot_ = slot;
-    owner_->slots_[slot].insert(this);
+    owner_->heartbeat_slots_[slot].insert(this);
     ++owner_->counts_.watches;
     Write(first);
   }
@@ -74,17 +74,17 @@
   bool muted() const { return muted_; }
 
   void Reset() {
-    Leave();
+    Detach();
     net::ErrorCode ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     socket_.close(ignored);
   }
 
  private:
-  static constexpr std::size_t kMostPending =
-      512;  // frames; a watch that reads more slowly than that is reset
+  // A watch with more pending frames is closed, as its peer reads too slowly.
+  static constexpr std::size_t kMaxPending = 512;
 
-  struct Inbox {
+  struct PendingRequest {
     boost::beast::flat_buffer buffer{net::kMaxHeader};
     net::http::request_parser<net::http::empty_body> parser;
   };
@@ -96,7 +96,7 @@
       const std::size_t n =
           socket_.write_some(asio::buffer(text.data() + written_, text.size() - written_), error);
       if (error == asio::error::would_block) return FlushLater();
-      if (error) return Break();
+      if (error) return CloseLater();
       owner_->counts_.bytes_out += n;
       written_ += n;
       if (written_ < text.size()) continue;
@@ -104,7 +104,7 @@
       pending_.erase(pending_.begin());
     }
     net::ErrorCode ignored;
-    if (last_) socket_.shutdown(Tcp::socket::shutdown_send, ignored);
+    if (last_frame_queued_) socket_.shutdown(Tcp::socket::shutdown_send, ignored);
   }
 
   void FlushLater() {
@@ -113,20 +113,20 @@
     });
   }
 
-  // Later, as whoever writes may be going through the watches.
-  void Break() {
-    if (std::exchange(broken_, true)) return;
+  // Closes the connection later, as the caller of Write may be iterating over the watches.
+  void CloseLater() {
+    if (std::exchange(closing_, true)) return;
     asio::post(socket_.get_executor(), [self = shared_from_this()] { self->Close(); });
   }
 
-  void WaitForEnd() {
+  void WaitForClose() {
     socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](net::ErrorCode error) {
       if (self->owner_ == nullptr) return;
       std::array<char, 512> input;
       const std::size_t n = error ? 0 : self->socket_.read_some(asio::buffer(input), error);
       if (error && error != asio::error::would_block) return self->Close();
       self->owner_->counts_.bytes_in += n;
-      self->WaitForEnd();
+      self->WaitForClose();
     });
   }
 
@@ -134,31 +134,31 @@
     if (owner_ == nullptr) return;
     const auto self = shared_from_this();
     Region& region = owner_->regions_[region_];
-    Leave();
+    Detach();
     net::ErrorCode ignored;
     socket_.close(ignored);
     region.connections.erase(self);
   }
 
-  void Leave() {
+  void Detach() {
     if (owner_ == nullptr) return;
     if (slot_) {
-      owner_->slots_[*slot_].erase(this);
+      owner_->heartbeat_slots_[*slot_].erase(this);
       --owner_->counts_.watches;
     }
     owner_ = nullptr;
   }
 
-  DiscoveryStandIn* owner_;  // null once it has ended
+  DiscoveryStandIn* owner_;  // null once the connection has ended
   const std::size_t region_;
   Tcp::socket socket_;
-  std::unique_ptr<Inbox> inbox_;
+  std::unique_ptr<PendingRequest> request_;
   std::vector<FramePtr> pending_;
-  std::size_t written_ = 0;  // of the first that is pending
+  std::size_t written_ = 0;  // bytes of the first pending frame
   std::optional<std::size_t> slot_;
   bool muted_ = false;
-  bool broken_ = false;
-  bool last_ = false;  // what is pending is all that will come
+  bool closing_ = false;
+  bool last_frame_queued_ = false;  // no frame follows the pending ones
 };
 
 }  // namespace merlinrun::scale
--- a/scale/discovery_list.cpp
+++ b/scale/discovery_list.cpp
@@ -7,7 +7,7 @@
 namespace merlinrun::scale {
 namespace {
 
-const char* Word(Entry::Lifecycle lifecycle) {
+const char* LifecycleName(Entry::Lifecycle lifecycle) {
   switch (lifecycle) {
     case Entry::Lifecycle::kUp:
       return "up";
@@ -20,13 +20,13 @@
 }
 
 std::string Serialize(const Entry& entry) {
-  nlohmann::ordered_json json;  // in the protocol's order
+  nlohmann::ordered_json json;  // keeps the protocol's order of keys
   json["instanceId"] = entry.instance_id;
   json["hostPort"] = entry.host_port;
   json["zone"] = entry.zone;
   json["machineType"] = entry.machine_type;
   json["cell"] = entry.cell;
-  json["lifecycle"] = Word(entry.lifecycle);
+  json["lifecycle"] = LifecycleName(entry.lifecycle);
   json["weight"] = entry.weight;
   json["startedAtMs"] = entry.started_at_ms;
   return json.dump();
@@ -48,79 +48,82 @@
   return std::make_shared<const Frame>(std::move(frame));
 }
 
-FramePtr BlankLine() {
+FramePtr HeartbeatFrame() {
   Frame frame;
   frame.text = Chunk("\n");
-  frame.blank_lines = 1;
+  frame.heartbeats = 1;
   return std::make_shared<const Frame>(std::move(frame));
 }
 
 FramePtr DiscoveryList::Set(const std::vector<Entry>& list) {
   list_.clear();
   history_.clear();
-  Past unused{++generation_, {}};
-  Forget();
+  PastChange unused{++generation_, {}};
+  ClearCache();
   Apply(list, unused);
-  return std::make_shared<const Frame>(Counted(Chunk(Object(true, EveryEntry())), true, list_.size()));
+  return std::make_shared<const Frame>(
+      MakeFrame(Chunk(SerializeObject(true, AllEntries())), true, list_.size()));
 }
 
 FramePtr DiscoveryList::Change(const std::vector<Entry>& entries) {
   history_.push_back({++generation_, {}});
-  Forget();
+  ClearCache();
   Apply(entries, history_.back());
   std::vector<const std::string*> changed;
   changed.reserve(entries.size());
   for (const auto& [id, text] : history_.back().entries) changed.push_back(&text);
-  auto frame = std::make_shared<const Frame>(Counted(Chunk(Object(false, changed)), false, changed.size()));
-  if (history_.size() > most_history_) history_.pop_front();
+  auto frame =
+      std::make_shared<const Frame>(MakeFrame(Chunk(SerializeObject(false, changed)), false, changed.size()));
+  if (history_.size() > max_history_) history_.pop_front();
   return frame;
 }
 
-void DiscoveryList::BeginAnew() {
+void DiscoveryList::ResetGenerations() {
   generation_ = 1;
   history_.clear();
-  Forget();
+  ClearCache();
 }
 
-std::size_t DiscoveryList::LinesAfter(std::int64_t index) const {
-  if (!Reaches(index)) return list_.size();
+std::size_t DiscoveryList::EntriesAfter(std::int64_t index) const {
+  if (!HistoryCovers(index)) return list_.size();
   std::size_t lines = 0;
-  for (auto past = history_.rbegin(); past != history_.rend() && past->generation > index; ++past)
-    lines += past->entries.size();
+  for (auto past_change = history_.rbegin();
+       past_change != history_.rend() && past_change->generation > index; ++past_change)
+    lines += past_change->entries.size();
   return lines;
 }
 
-FramePtr DiscoveryList::WholeAnswer() {
-  if (whole_answer_ != nullptr) return whole_answer_;
-  const std::string body = Object(true, EveryEntry());
+FramePtr DiscoveryList::FullListResponse() {
+  if (full_list_response_ != nullptr) return full_list_response_;
+  const std::string body = SerializeObject(true, AllEntries());
   const std::string head =
       "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: " +
       std::to_string(body.size()) + "\r\n\r\n";
-  return whole_answer_ = std::make_shared<const Frame>(Counted(head + body, true, list_.size()));
+  return full_list_response_ = std::make_shared<const Frame>(MakeFrame(head + body, true, list_.size()));
 }
 
-FramePtr DiscoveryList::WatchAnswer(std::int64_t index) {
-  const bool whole = !Reaches(index);
-  FramePtr& kept = watch_answers_[whole ? -1 : index];
-  if (kept != nullptr) return kept;
+FramePtr DiscoveryList::WatchResponse(std::int64_t index) {
+  const bool full = !HistoryCovers(index);
+  FramePtr& cached = watch_responses_[full ? -1 : index];
+  if (cached != nullptr) return cached;
   std::map<std::string_view, const std::string*> changed;
-  for (const Past& past : history_)
-    if (!whole && past.generation > index)
-      for (const auto& [id, text] : past.entries) changed[id] = &text;
-  std::vector<const std::string*> entries = whole ? EveryEntry() : std::vector<const std::string*>();
+  for (const PastChange& past_change : history_)
+    if (!full && past_change.generation > index)
+      for (const auto& [id, text] : past_change.entries) changed[id] = &text;
+  std::vector<const std::string*> entries = full ? AllEntries() : std::vector<const std::string*>();
   for (const auto& [id, text] : changed) entries.push_back(text);
   const std::string head =
       "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-  return kept = std::make_shared<const Frame>(
-             Counted(head + Chunk(Object(whole, entries)), whole, entries.size()));
+  return cached = std::make_shared<const Frame>(
+             MakeFrame(head + Chunk(SerializeObject(full, entries)), full, entries.size()));
 }
 
-bool DiscoveryList::Reaches(std::int64_t index) const {
+bool DiscoveryList::HistoryCovers(std::int64_t index) const {
   const std::int64_t oldest = history_.empty() ? generation_ : history_.front().generation - 1;
   return index >= oldest && index <= generation_;
 }
 
-void DiscoveryList::Apply(const std::vector<Entry>& entries, Past& past) {
+void DiscoveryList::Apply(const std::vector<Entry>& entries, PastChange& past_change) {
   for (const Entry& entry : entries) {
     std::string text = Serialize(entry);
     if (entry.lifecycle == Entry::Lifecycle::kRemoved) {
@@ -128,21 +131,21 @@
     } else {
       list_[entry.instance_id] = text;
     }
-    past.entries.emplace_back(entry.instance_id, std::move(text));
+    past_change.entries.emplace_back(entry.instance_id, std::move(text));
   }
 }
 
-std::vector<const std::string*> DiscoveryList::EveryEntry() const {
-  std::vector<const std::string*> every;
-  every.reserve(list_.size());
-  for (const auto& [id, text] : list_) every.push_back(&text);
-  return every;
+std::vector<const std::string*> DiscoveryList::AllEntries() const {
+  std::vector<const std::string*> all;
+  all.reserve(list_.size());
+  for (const auto& [id, text] : list_) all.push_back(&text);
+  return all;
 }
 
-std::string DiscoveryList::Object(bool whole, const std::vector<const std::string*>& entries) {
-  ++serialized_;
+std::string DiscoveryList::SerializeObject(bool full, const std::vector<const std::string*>& entries) {
+  ++objects_serialized_;
   std::string text = "{\"generation\":" + std::to_string(generation_) +
-                     ",\"reset\":" + (whole ? "true" : "false") + ",\"instances\":[";
+                     ",\"reset\":" + (full ? "true" : "false") + ",\"instances\":[";
   bool first = true;
   for (const std::string* entry : entries) {
     if (!std::exchange(first, false)) text += ',';
@@ -151,18 +154,18 @@
   return text + "]}\n";
 }
 
-Frame DiscoveryList::Counted(std::string text, bool whole, std::size_t entries) {
+Frame DiscoveryList::MakeFrame(std::string text, bool full, std::size_t entries) {
   Frame frame;
   frame.text = std::move(text);
   frame.objects = 1;
-  frame.whole_lists = whole ? 1 : 0;
+  frame.full_lists = full ? 1 : 0;
   frame.entries = entries;
   return frame;
 }
 
-void DiscoveryList::Forget() {
-  whole_answer_ = nullptr;
-  watch_answers_.clear();
+void DiscoveryList::ClearCache() {
+  full_list_response_ = nullptr;
+  watch_responses_.clear();
 }
 
 }  // namespace merlinrun::scale
--- a/scale/discovery_process.cpp
+++ b/scale/discovery_process.cpp
@@ -36,62 +36,65 @@
 class DiscoveryProcess {
  public:
   explicit DiscoveryProcess(std::uint16_t port)
-      : io_(1), drive_(io_), commands_(io_, port, [this](const json& command) { return Do(command); }) {}
+      : io_(1),
+        change_timer_(io_),
+        commands_(io_, port, [this](const json& command) { return Execute(command); }) {}
   void Run() { io_.run(); }
 
  private:
-  json Do(const json& command) {
-    const std::string what = command.at("do").get<std::string>();
-    if (what == "open") return Open(command);
-    if (stand_in_ == nullptr) throw std::runtime_error("not open");
-    if (what == "list") return SetList(command.at("listed").get<std::int64_t>());
-    if (what == "change") return Change(command);
-    if (what == "drive") return Drive(command);
-    if (what == "changes") return Changes(command.at("since").get<std::int64_t>());
-    if (what == "counts") return Counts(command.value("trim", false));
-    if (what == "die") {
-      stand_in_->Die();
-    } else if (what == "return") {
-      stand_in_->Return(command.value("anew", false));
-    } else if (what == "silent") {
-      stand_in_->SetSilent(command.at("on").get<bool>());
-    } else if (what == "cut") {
-      stand_in_->Cut(command.at("region").get<std::size_t>(), command.at("on").get<bool>());
+  json Execute(const json& command) {
+    const std::string action = command.at("do").get<std::string>();
+    if (action == "open") return Open(command);
+    if (discovery_ == nullptr) throw std::runtime_error("discovery is not open");
+    if (action == "list") return SetList(command.at("listed").get<std::int64_t>());
+    if (action == "change") return Change(command);
+    if (action == "drive") return StartRandomChanges(command);
+    if (action == "changes") return Changes(command.at("since").get<std::int64_t>());
+    if (action == "counts") return Counts(command.value("trim", false));
+    if (action == "die") {
+      discovery_->Crash();
+    } else if (action == "return") {
+      discovery_->Restart(command.value("anew", false));
+    } else if (action == "silent") {
+      discovery_->SetSilent(command.at("on").get<bool>());
+    } else if (action == "cut") {
+      discovery_->SetPartitioned(command.at("region").get<std::size_t>(), command.at("on").get<bool>());
     } else {
-      throw std::runtime_error("unknown command " + what);
+      throw std::runtime_error("unknown command " + action);
     }
     return {{"at_us", SteadyNow()}};
   }
 
-  // Each region has a loopback address of its own: the ports of one would not do for all watches.
+  // Each region has a loopback address of its own, as a single address has too few ports for all watches.
   json Open(const json& command) {
     std::vector<Tcp::endpoint> listen;
     for (std::uint32_t i = 0; i < command.value("regions", 1U); ++i)
       listen.emplace_back(asio::ip::address_v4((127U << 24U) + (1U << 16U) + (i << 8U) + 1U), 0);
     DiscoveryStandIn::Options options;
     options.service_time = command.value("service_time_us", options.service_time);
-    options.service_time_per_line = command.value("service_time_per_line_us", options.service_time_per_line);
+    options.service_time_per_entry =
+        command.value("service_time_per_line_us", options.service_time_per_entry);
     options.queue = command.value("queue", options.queue);
-    options.longest_wait = command.value("longest_wait_us", options.longest_wait);
+    options.max_wait = command.value("longest_wait_us", options.max_wait);
     options.history = command.value("history", options.history);
-    stand_in_ = std::make_unique<DiscoveryStandIn>(io_, listen, options);
+    discovery_ = std::make_unique<DiscoveryStandIn>(io_, listen, options);
     SetList(command.value("listed", std::int64_t{0}));
     json addresses = json::array();
-    for (const Tcp::endpoint& address : stand_in_->addresses()) addresses.push_back(AddressText(address));
-    return {{"addresses", addresses}, {"generation", stand_in_->generation()}};
+    for (const Tcp::endpoint& address : discovery_->addresses()) addresses.push_back(AddressText(address));
+    return {{"addresses", addresses}, {"generation", discovery_->generation()}};
   }
 
   json SetList(std::int64_t listed) {
     listed_ = listed;
     draining_.clear();
     changes_.clear();
-    stand_in_->SetList(MakeServers(listed));
-    return {{"generation", stand_in_->generation()}};
+    discovery_->SetList(MakeServers(listed));
+    return {{"generation", discovery_->generation()}};
   }
 
   json Apply(const std::vector<Entry>& entries) {
     const Micros at = SteadyNow();
-    const std::int64_t generation = stand_in_->Change(entries);
+    const std::int64_t generation = discovery_->Change(entries);
     changes_.emplace_back(generation, at);
     return {{"generation", generation}, {"at_us", at}};
   }
@@ -102,27 +105,29 @@
     const auto stride = command.value("stride", std::int64_t{1});
     std::vector<Entry> entries;
     std::int64_t number = command.at("first").get<std::int64_t>();
-    for (auto left = command.value("count", std::int64_t{1}); left > 0; --left, number += stride)
+    for (auto remaining = command.value("count", std::int64_t{1}); remaining > 0;
+         --remaining, number += stride)
       entries.push_back(MakeServer(number, lifecycle, started));
     return Apply(entries);
   }
 
-  json Drive(const json& command) {
-    per_s_ = command.at("per_s").get<double>();
+  json StartRandomChanges(const json& command) {
+    changes_per_s_ = command.at("per_s").get<double>();
     random_.seed(command.value("seed", std::uint64_t{1}));
-    drive_.cancel();
-    drive_.expires_at(std::chrono::steady_clock::now());
-    if (per_s_ > 0 && listed_ > 0) DriveOn();
+    change_timer_.cancel();
+    change_timer_.expires_at(std::chrono::steady_clock::now());
+    if (changes_per_s_ > 0 && listed_ > 0) ScheduleNextChange();
     return {{"at_us", SteadyNow()}};
   }
 
-  // The times are drawn ahead: a change that is late does not put off the ones behind it.
-  void DriveOn() {
-    const std::chrono::duration<double> wait(std::exponential_distribution<double>(per_s_)(random_));
-    drive_.expires_at(drive_.expiry() +
-                      std::chrono::duration_cast<std::chrono::steady_clock::duration>(wait));
-    drive_.async_wait([this](const boost::system::error_code& error) {
-      if (error || per_s_ <= 0) return;
+  // Times are computed from the scheduled time of the previous change, so that a late change does not delay
+  // those after it.
+  void ScheduleNextChange() {
+    const std::chrono::duration<double> wait(std::exponential_distribution<double>(changes_per_s_)(random_));
+    change_timer_.expires_at(change_timer_.expiry() +
+                             std::chrono::duration_cast<std::chrono::steady_clock::duration>(wait));
+    change_timer_.async_wait([this](const boost::system::error_code& error) {
+      if (error || changes_per_s_ <= 0) return;
       if (draining_.empty()) {
         draining_.push_back(std::uniform_int_distribution<std::int64_t>(0, listed_ - 1)(random_));
         Apply({MakeServer(draining_.back(), Entry::Lifecycle::kDraining)});
@@ -130,7 +135,7 @@
         Apply({MakeServer(draining_.back(), Entry::Lifecycle::kUp, UnixMs())});
         draining_.pop_back();
       }
-      DriveOn();
+      ScheduleNextChange();
     });
   }
 
@@ -143,32 +148,32 @@
 
   json Counts(bool trim) {
     json counts = OwnUsage(trim);
-    const DiscoveryStandIn::Counts& c = stand_in_->counts();
+    const DiscoveryStandIn::Counts& c = discovery_->counts();
     counts.update({{"connections", c.connections},
                    {"calls", c.calls},
                    {"refused", c.refused},
-                   {"whole_lists", c.whole_lists},
+                   {"whole_lists", c.full_lists},
                    {"watches", c.watches},
                    {"bytes_in", c.bytes_in},
                    {"bytes_out", c.bytes_out},
                    {"objects", c.objects},
                    {"entries", c.entries},
-                   {"blank_lines", c.blank_lines},
-                   {"most_calls_in_a_second", c.most_calls_in_a_second},
-                   {"generation", stand_in_->generation()},
+                   {"blank_lines", c.heartbeats},
+                   {"most_calls_in_a_second", c.max_calls_in_a_second},
+                   {"generation", discovery_->generation()},
                    {"at_us", SteadyNow()}});
-    stand_in_->CountSecondsAnew();
+    discovery_->ResetMaxCallRate();
     return counts;
   }
 
   asio::io_context io_;
-  std::unique_ptr<DiscoveryStandIn> stand_in_;
+  std::unique_ptr<DiscoveryStandIn> discovery_;
   std::int64_t listed_ = 0;
-  std::vector<std::pair<std::int64_t, Micros>> changes_;  // generation and time
-  double per_s_ = 0;
-  std::vector<std::int64_t> draining_;  // what has been driven out and comes back next
+  std::vector<std::pair<std::int64_t, Micros>> changes_;  // pairs of a generation and the time of the change
+  double changes_per_s_ = 0;
+  std::vector<std::int64_t> draining_;  // servers that drain and come up again next
   std::mt19937_64 random_;
-  asio::steady_timer drive_;
+  asio::steady_timer change_timer_;
   CommandLoop commands_;
 };
 
--- a/scale/discovery_process.hpp
+++ b/scale/discovery_process.hpp
@@ -1,4 +1,4 @@
-// The stand-in for discovery in a process of its own, so that its CPU and memory are read alone.
+// The fake discovery in a process of its own, so that its CPU time and memory can be measured separately.
 #ifndef MERLINRUN_SCALE_DISCOVERY_PROCESS_HPP_
 #define MERLINRUN_SCALE_DISCOVERY_PROCESS_HPP_
 
@@ -6,15 +6,19 @@
 
 namespace merlinrun::scale {
 
-// Does what the run tells it over the line at that loopback port, until the line ends. Commands by "do":
-// - "open": regions, service_time_us, service_time_per_line_us, queue, longest_wait_us, history, listed;
-//   answers "addresses", one for each region
-// - "list": listed; replaces the list, with all servers up
-// - "change": first, count, stride, lifecycle, restarted; in one object; answers "generation" and "at_us"
-// - "drive": per_s (0 = no more), seed; single servers drain and come up again, at times drawn at random
-// - "changes": since; answers "changes", pairs of generation and time
-// - "die", "return" (anew), "silent" (on), "cut" (region, on)
-// - "counts" (trim); answers counts and usage. The largest calls in a second are counted anew after it.
+// Executes the commands of the run, which listens for this process on that loopback port, until the run
+// closes the connection. Commands, by the value of "do", with their parameters:
+// - "open": regions, service_time_us, service_time_per_line_us, queue, longest_wait_us, history, listed.
+//   Starts discovery; returns "addresses", one for each region, and "generation".
+// - "list": listed. Replaces the list; all its servers are up. Returns "generation".
+// - "change": first, count, stride, lifecycle, restarted. Changes these servers in one object; returns
+//   "generation" and "at_us".
+// - "drive": per_s (0 = stop), seed. Single servers drain and come up again at random times.
+// - "changes": since. Returns "changes": pairs of a generation and the time of the change.
+// - "die": stops discovery. "return": anew. Starts it again; with "anew", generations restart.
+// - "silent": on. See FakeDiscovery::SetSilent.
+// - "cut": region, on. See FakeDiscovery::SetPartitioned.
+// - "counts": trim. Returns counts and resource usage, and resets "most_calls_in_a_second".
 int RunDiscoveryProcess(std::uint16_t port);
 
 }  // namespace merlinrun::scale
--- a/scale/discovery_stand_in.cpp
+++ b/scale/discovery_stand_in.cpp
@@ -14,13 +14,13 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr int kBacklog = 4096;
-constexpr std::size_t kSlots = 20;  // the blank lines of an interval leave at so many times
-constexpr std::string_view kPath = "/v1/endpoints";
+constexpr std::size_t kHeartbeatSlots = 20;  // heartbeats are sent at this many times in an interval
+constexpr std::string_view kEndpointsPath = "/v1/endpoints";
 
-std::chrono::microseconds Time(Micros time) { return std::chrono::microseconds(time); }
+std::chrono::microseconds Microseconds(Micros time) { return std::chrono::microseconds(time); }
 
-// The value of a parameter of the query; empty if it has none.
-std::string_view Parameter(std::string_view target, std::string_view name) {
+// Returns the value of a query parameter; empty if there is none.
+std::string_view QueryParameter(std::string_view target, std::string_view name) {
   std::size_t at = target.find('?');
   while (at != std::string_view::npos) {
     target.remove_prefix(at + 1);
@@ -39,31 +39,31 @@
       options_(options),
       addresses_(std::move(listen)),
       list_(options.history),
-      slots_(kSlots),
-      service_(io),
-      longest_wait_(io),
-      blank_timer_(io, Clock::now()) {
+      heartbeat_slots_(kHeartbeatSlots),
+      service_timer_(io),
+      queue_timer_(io),
+      heartbeat_timer_(io, Clock::now()) {
   for (std::size_t i = 0; i < addresses_.size(); ++i) {
     regions_.emplace_back(io);
     Listen(i);
   }
   for (std::size_t i = 0; i < addresses_.size(); ++i) Accept(i);
-  TickBlankLines();
+  ScheduleHeartbeats();
 }
 
 DiscoveryStandIn::~DiscoveryStandIn() { ResetConnections(); }
 
 // ---- The list ----
 
-void DiscoveryStandIn::SetList(const std::vector<Entry>& list) { Tell(list_.Set(list)); }
+void DiscoveryStandIn::SetList(const std::vector<Entry>& list) { SendToWatches(list_.Set(list)); }
 
 std::int64_t DiscoveryStandIn::Change(const std::vector<Entry>& entries) {
-  Tell(list_.Change(entries));
+  SendToWatches(list_.Change(entries));
   return list_.generation();
 }
 
-void DiscoveryStandIn::Tell(const FramePtr& frame) {
-  for (const auto& slot : slots_)
+void DiscoveryStandIn::SendToWatches(const FramePtr& frame) {
+  for (const auto& slot : heartbeat_slots_)
     for (Connection* const watch : slot) watch->Write(frame);
 }
 
@@ -73,19 +73,19 @@
   const auto now = Clock::now();
   ++counts_.calls;
   const auto second = std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
-  if (std::exchange(second_, second) != second) calls_in_second_ = 0;
-  counts_.most_calls_in_a_second = std::max(counts_.most_calls_in_a_second, ++calls_in_second_);
+  if (std::exchange(current_second_, second) != second) calls_in_second_ = 0;
+  counts_.max_calls_in_a_second = std::max(counts_.max_calls_in_a_second, ++calls_in_second_);
   if (from->muted()) return;
-  if (target.substr(0, target.find('?')) != kPath) {
+  if (target.substr(0, target.find('?')) != kEndpointsPath) {
     return from->WriteLast(
         TextFrame("HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"));
   }
   Call call;
   call.from = from;
-  call.watch = Parameter(target, "stream") == "1";
-  const std::string_view index = Parameter(target, "index");
+  call.watch = QueryParameter(target, "stream") == "1";
+  const std::string_view index = QueryParameter(target, "index");
   std::from_chars(index.data(), index.data() + index.size(), call.index);
-  call.until = now + Time(options_.longest_wait);
+  call.deadline = now + Microseconds(options_.max_wait);
   if (queue_.size() >= options_.queue && serving_) return Refuse(call);
   queue_.push_back(std::move(call));
   ServeNext();
@@ -99,8 +99,8 @@
       TextFrame("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"));
 }
 
-std::size_t DiscoveryStandIn::Lines(const Call& call) const {
-  return call.watch ? list_.LinesAfter(call.index) : list_.size();
+std::size_t DiscoveryStandIn::EntryCount(const Call& call) const {
+  return call.watch ? list_.EntriesAfter(call.index) : list_.size();
 }
 
 void DiscoveryStandIn::ServeNext() {
@@ -111,56 +111,58 @@
     const auto from = call.from.lock();
     if (from == nullptr || from->muted()) continue;
     const Micros cost =
-        options_.service_time + options_.service_time_per_line * static_cast<Micros>(Lines(call));
+        options_.service_time + options_.service_time_per_entry * static_cast<Micros>(EntryCount(call));
     if (cost <= 0) {
       Serve(call);
       continue;
     }
-    // A timer that fires late does not slow it down: the next call begins where this one ought to have ended.
-    free_at_ = (idle ? std::max(free_at_, Clock::now()) : free_at_) + Time(cost);
+    // The next call starts when this one should have ended, so that late timers do not reduce the throughput.
+    service_ends_at_ =
+        (idle ? std::max(service_ends_at_, Clock::now()) : service_ends_at_) + Microseconds(cost);
     serving_ = call;
-    service_.expires_at(free_at_);
-    service_.async_wait([this, life = std::weak_ptr(life_)](ErrorCode error) {
-      if (error || life.expired()) return;
+    service_timer_.expires_at(service_ends_at_);
+    service_timer_.async_wait([this, lifetime = std::weak_ptr(lifetime_)](ErrorCode error) {
+      if (error || lifetime.expired()) return;
       Serve(*std::exchange(serving_, std::nullopt));
       ServeNext();
     });
   }
-  ExpectLongestWait();
+  ScheduleQueueTimeout();
 }
 
 void DiscoveryStandIn::Serve(const Call& call) {
   const auto from = call.from.lock();
   if (from == nullptr) return;
-  if (!call.watch) return from->WriteLast(list_.WholeAnswer());
-  from->OpenWatch(slot_, list_.WatchAnswer(call.index));
+  if (!call.watch) return from->WriteLast(list_.FullListResponse());
+  from->OpenWatch(current_slot_, list_.WatchResponse(call.index));
 }
 
-void DiscoveryStandIn::ExpectLongestWait() {
+void DiscoveryStandIn::ScheduleQueueTimeout() {
   if (queue_.empty()) return;
-  longest_wait_.expires_at(queue_.front().until);  // those behind it came later
-  longest_wait_.async_wait([this, life = std::weak_ptr(life_)](ErrorCode error) {
-    if (error || life.expired()) return;
-    while (!queue_.empty() && queue_.front().until <= Clock::now()) {
+  queue_timer_.expires_at(queue_.front().deadline);  // the ones behind it have later deadlines
+  queue_timer_.async_wait([this, lifetime = std::weak_ptr(lifetime_)](ErrorCode error) {
+    if (error || lifetime.expired()) return;
+    while (!queue_.empty() && queue_.front().deadline <= Clock::now()) {
       Refuse(queue_.front());
       queue_.pop_front();
     }
-    ExpectLongestWait();
+    ScheduleQueueTimeout();
   });
 }
 
-// Each watch gets its blank line once in an interval. They are spread over it by when watches were opened.
-void DiscoveryStandIn::TickBlankLines() {
-  blank_timer_.expires_at(blank_timer_.expiry() + Time(options_.blank_line) / kSlots);
-  blank_timer_.async_wait([this, life = std::weak_ptr(life_)](ErrorCode error) {
-    if (error || life.expired()) return;
-    slot_ = (slot_ + 1) % kSlots;
-    for (Connection* const watch : slots_[slot_]) watch->Write(blank_);
-    TickBlankLines();
+// Each watch gets one heartbeat per interval, in the slot in which the watch was opened.
+void DiscoveryStandIn::ScheduleHeartbeats() {
+  heartbeat_timer_.expires_at(heartbeat_timer_.expiry() +
+                              Microseconds(options_.heartbeat_interval) / kHeartbeatSlots);
+  heartbeat_timer_.async_wait([this, lifetime = std::weak_ptr(lifetime_)](ErrorCode error) {
+    if (error || lifetime.expired()) return;
+    current_slot_ = (current_slot_ + 1) % kHeartbeatSlots;
+    for (Connection* const watch : heartbeat_slots_[current_slot_]) watch->Write(heartbeat_);
+    ScheduleHeartbeats();
   });
 }
 
-// ---- What befalls it ----
+// ---- Failures ----
 
 void DiscoveryStandIn::Listen(std::size_t region) {
   Tcp::acceptor& acceptor = regions_[region].acceptor;
@@ -173,16 +175,16 @@
 
 void DiscoveryStandIn::Accept(std::size_t region) {
   regions_[region].acceptor.async_accept(
-      [this, region, life = std::weak_ptr(life_)](ErrorCode error, Tcp::socket socket) {
-        if (error == asio::error::operation_aborted || life.expired()) return;
+      [this, region, lifetime = std::weak_ptr(lifetime_)](ErrorCode error, Tcp::socket socket) {
+        if (error == asio::error::operation_aborted || lifetime.expired()) return;
         if (!error) {
           ++counts_.connections;
           const auto connection = std::make_shared<Connection>(*this, region, std::move(socket));
-          if (silent_ || regions_[region].cut) connection->Mute();
+          if (silent_ || regions_[region].partitioned) connection->Mute();
           regions_[region].connections.insert(connection);
           connection->Read();
         }
-        if (!regions_[region].cut) Accept(region);
+        if (!regions_[region].partitioned) Accept(region);
       });
 }
 
@@ -194,12 +196,12 @@
 }
 
 void DiscoveryStandIn::CloseAll() {
-  life_ = std::make_shared<const char>();
+  lifetime_ = std::make_shared<const char>();
   queue_.clear();
   serving_.reset();
-  service_.cancel();
-  longest_wait_.cancel();
-  blank_timer_.cancel();
+  service_timer_.cancel();
+  queue_timer_.cancel();
+  heartbeat_timer_.cancel();
   for (Region& region : regions_) {
     ErrorCode ignored;
     region.acceptor.close(ignored);
@@ -208,18 +210,18 @@
   ResetConnections();
 }
 
-void DiscoveryStandIn::Die() {
+void DiscoveryStandIn::Crash() {
   down_ = true;
   CloseAll();
 }
 
-void DiscoveryStandIn::Return(bool anew) {
+void DiscoveryStandIn::Restart(bool reset_generations) {
   if (!std::exchange(down_, false)) return;
-  blank_timer_.expires_at(Clock::now());
-  TickBlankLines();
-  if (anew) list_.BeginAnew();
+  heartbeat_timer_.expires_at(Clock::now());
+  ScheduleHeartbeats();
+  if (reset_generations) list_.ResetGenerations();
   for (std::size_t i = 0; i < regions_.size(); ++i) {
-    regions_[i].cut = false;
+    regions_[i].partitioned = false;
     Listen(i);
     Accept(i);
   }
@@ -232,33 +234,33 @@
     for (const ConnectionPtr& connection : region.connections) connection->Mute();
 }
 
-// A listener whose backlog is full drops what asks for a connection, as a network does that is cut: a closed
-// one would refuse it. The fillers are connections to itself that nobody accepts.
-void DiscoveryStandIn::Cut(std::size_t number, bool cut) {
-  Region& region = regions_.at(number);
-  if (down_ || std::exchange(region.cut, cut) == cut) return;
+// A listener whose backlog is full drops connection attempts, as a network partition does; a closed listener
+// would refuse them. The fillers are connections to the own listener that are never accepted.
+void DiscoveryStandIn::SetPartitioned(std::size_t region_number, bool partitioned) {
+  Region& region = regions_.at(region_number);
+  if (down_ || std::exchange(region.partitioned, partitioned) == partitioned) return;
   ErrorCode ignored;
-  if (cut) {
+  if (partitioned) {
     for (const ConnectionPtr& connection : region.connections) connection->Mute();
     region.acceptor.cancel(ignored);
     ::listen(region.acceptor.native_handle(), 0);
     Tcp::socket filler(io_);
-    filler.open(addresses_[number].protocol());
+    filler.open(addresses_[region_number].protocol());
     filler.non_blocking(true);
-    filler.connect(addresses_[number], ignored);  // at once, or as the first when there is room
+    filler.connect(addresses_[region_number], ignored);  // now, or as the first once the backlog has space
     region.fillers.push_back(std::move(filler));
     return;
   }
   region.fillers.clear();
   region.acceptor.non_blocking(true);
-  // What came up in the moment of the cut is reset, and the fillers with it.
+  // Connections established just before the partition are reset, as are the fillers.
   for (ErrorCode none; !none;) {
     Tcp::socket stray(io_);
     region.acceptor.accept(stray, none);
     if (!none) stray.set_option(asio::socket_base::linger(true, 0), ignored);
   }
   ::listen(region.acceptor.native_handle(), kBacklog);
-  Accept(number);
+  Accept(region_number);
 }
 
 }  // namespace merlinrun::scale
--- a/scale/discovery_stand_in.hpp
+++ b/scale/discovery_stand_in.hpp
@@ -1,5 +1,6 @@
-// Stands in for discovery, as the protocol has it: the whole list, watches with changes and blank lines,
-// calls handled one after another. Can die and come back, fall silent, and be cut off from regions.
+// A fake discovery server that implements the protocol: full lists, and watches with changes and heartbeats
+// (empty lines). Handles calls one after another. Can crash and restart, fall silent, and be partitioned from
+// regions.
 #ifndef MERLINRUN_SCALE_DISCOVERY_STAND_IN_HPP_
 #define MERLINRUN_SCALE_DISCOVERY_STAND_IN_HPP_
 
@@ -29,54 +30,55 @@
 class DiscoveryStandIn {
  public:
   struct Options {
-    Micros service_time = 0;           // of a call ...
-    Micros service_time_per_line = 0;  // ... and of each entry in its answer, on top
-    std::size_t queue = 100'000;       // calls that may wait; further ones get 503 at once
-    Micros longest_wait = 4'000'000;   // in the queue; then a call gets 503
-    std::size_t history = 4096;        // changes that a watch may begin behind the present
-    Micros blank_line = 2'000'000;     // between blank lines on a watch
+    Micros service_time = 0;                // of a call, plus ...
+    Micros service_time_per_entry = 0;      // ... this for each entry in its response
+    std::size_t queue = 100'000;            // calls that may wait; further calls get 503 at once
+    Micros max_wait = 4'000'000;            // in the queue; after it a call gets 503
+    std::size_t history = 4096;             // changes that a watch may start behind the present
+    Micros heartbeat_interval = 2'000'000;  // between heartbeats on a watch
   };
-  // Since the start, but for `watches`.
+  // Totals since the start, except `watches`.
   struct Counts {
     std::uint64_t connections = 0;  // accepted
-    std::uint64_t calls = 0;        // read, refused ones included
+    std::uint64_t calls = 0;        // read, including refused ones
     std::uint64_t refused = 0;      // answered with 503
-    std::uint64_t whole_lists = 0;  // written, on watches too
-    std::uint64_t watches = 0;      // open now, silent ones included
+    std::uint64_t full_lists = 0;   // written, in responses and on watches
+    std::uint64_t watches = 0;      // open now, including silent ones
     std::uint64_t bytes_in = 0;
     std::uint64_t bytes_out = 0;
     std::uint64_t objects = 0;
     std::uint64_t entries = 0;  // in these objects
-    std::uint64_t blank_lines = 0;
-    std::uint64_t most_calls_in_a_second = 0;  // by the second in which they were read
+    std::uint64_t heartbeats = 0;
+    std::uint64_t max_calls_in_a_second = 0;  // maximum over the seconds since the last reset
   };
 
-  // Listens at each of the addresses: the n-th is that of region n. Port 0 takes a free one.
+  // Listens on each of the addresses; the n-th serves region n. Port 0 selects a free port.
   DiscoveryStandIn(asio::io_context& io, std::vector<Tcp::endpoint> listen, Options options);
   ~DiscoveryStandIn();
   DiscoveryStandIn(const DiscoveryStandIn&) = delete;
   DiscoveryStandIn& operator=(const DiscoveryStandIn&) = delete;
 
-  // Puts another list in place of the one before; open watches get it whole.
+  // Replaces the list and sends the new one to open watches.
   void SetList(const std::vector<Entry>& list);
-  // Applies the entries and tells all watches of them in one object. Returns the new generation.
+  // Applies the entries and sends them to all watches in one object. Returns the new generation.
   std::int64_t Change(const std::vector<Entry>& entries);
 
-  // As when its process dies: connections are reset, new ones refused. It returns at the same addresses with
-  // its list, counting its generations and its history on, or anew.
-  void Die();
-  void Return(bool anew = false);
-  // Connections stay open and quiet and new ones come up, unanswered. Those fall silent for good: what is
-  // answered again, after SetSilent(false), are new ones.
+  // Crash() acts like the end of the process: connections are reset and new ones refused. Restart() listens
+  // on the same addresses with the same list; generations and history continue, or are reset.
+  void Crash();
+  void Restart(bool reset_generations = false);
+  // While silent, connections stay open and new ones are accepted, but nothing is sent on them. These stay
+  // silent for good: after SetSilent(false) only new connections are served.
   void SetSilent(bool silent);
-  // A region that is cut off has silent connections, for good, and new ones do not come up until it is
-  // healed.
-  void Cut(std::size_t region, bool cut);
+  // Cuts the region off from discovery, or heals it. Connections that were open fall silent for good, and new
+  // ones cannot be established until the region is healed.
+  void SetPartitioned(std::size_t region, bool partitioned);
 
   std::int64_t generation() const { return list_.generation(); }
   const Counts& counts() const { return counts_; }
-  void CountSecondsAnew() { counts_.most_calls_in_a_second = calls_in_second_ = 0; }
-  std::uint64_t serialized() const { return list_.serialized(); }  // objects; one serves all that get it
+  void ResetMaxCallRate() { counts_.max_calls_in_a_second = calls_in_second_ = 0; }
+  // Counts an object once, however many watches it is sent to.
+  std::uint64_t objects_serialized() const { return list_.objects_serialized(); }
   const std::vector<Tcp::endpoint>& addresses() const { return addresses_; }
 
  private:
@@ -87,14 +89,14 @@
     explicit Region(asio::io_context& io) : acceptor(io) {}
     Tcp::acceptor acceptor;
     std::unordered_set<ConnectionPtr> connections;
-    std::vector<Tcp::socket> fillers;  // keep the backlog full while it is cut off
-    bool cut = false;
+    std::vector<Tcp::socket> fillers;  // keep the backlog full while the region is cut off
+    bool partitioned = false;
   };
   struct Call {
     std::weak_ptr<Connection> from;
     bool watch = false;
-    std::int64_t index = -1;  // what a watch has; -1 = nothing
-    Clock::time_point until;  // it waits no longer
+    std::int64_t index = -1;     // generation of the client's list; -1 = no list
+    Clock::time_point deadline;  // for waiting in the queue
   };
   void Listen(std::size_t region);
   void Accept(std::size_t region);
@@ -102,10 +104,10 @@
   void ServeNext();
   void Serve(const Call& call);
   void Refuse(const Call& call);
-  void ExpectLongestWait();
-  std::size_t Lines(const Call& call) const;
-  void Tell(const FramePtr& frame);
-  void TickBlankLines();
+  void ScheduleQueueTimeout();
+  std::size_t EntryCount(const Call& call) const;
+  void SendToWatches(const FramePtr& frame);
+  void ScheduleHeartbeats();
   void ResetConnections();
   void CloseAll();
 
@@ -114,22 +116,22 @@
   std::vector<Tcp::endpoint> addresses_;
   std::deque<Region> regions_;
   DiscoveryList list_;
-  // Watches by when in the interval their blank lines are due.
-  std::vector<std::unordered_set<Connection*>> slots_;
-  std::size_t slot_ = 0;
-  const FramePtr blank_ = BlankLine();
+  // Watches by the part of the interval in which their heartbeats are sent.
+  std::vector<std::unordered_set<Connection*>> heartbeat_slots_;
+  std::size_t current_slot_ = 0;
+  const FramePtr heartbeat_ = HeartbeatFrame();
   std::deque<Call> queue_;
   std::optional<Call> serving_;
-  Clock::time_point free_at_;  // when what is being served is done
-  asio::steady_timer service_;
-  asio::steady_timer longest_wait_;
-  asio::steady_timer blank_timer_;
-  // Replaced when it dies. Guards against handlers of a life before, and of none.
-  std::shared_ptr<const char> life_ = std::make_shared<const char>();
+  Clock::time_point service_ends_at_;  // when the call in service is finished
+  asio::steady_timer service_timer_;
+  asio::steady_timer queue_timer_;
+  asio::steady_timer heartbeat_timer_;
+  // Lets handlers detect that the object has been destroyed, or has crashed since; replaced at a crash.
+  std::shared_ptr<const char> lifetime_ = std::make_shared<const char>();
   bool down_ = false;
   bool silent_ = false;
   Counts counts_;
-  std::int64_t second_ = 0;  // the one that calls are counted in
+  std::int64_t current_second_ = 0;  // the second in which calls are being counted
   std::uint64_t calls_in_second_ = 0;
 };
 
--- a/scale/discovery_steps.hpp
+++ b/scale/discovery_steps.hpp
@@ -1,4 +1,4 @@
-// The steps on the stand-in for discovery and hollow sidecars.
+// Steps that measure the fake discovery and simulated sidecars.
 #ifndef MERLINRUN_SCALE_DISCOVERY_STEPS_HPP_
 #define MERLINRUN_SCALE_DISCOVERY_STEPS_HPP_
 
--- a/scale/fan_out.cpp
+++ b/scale/fan_out.cpp
@@ -18,8 +18,8 @@
 using Figures = std::map<std::string, double>;
 using Clock = std::chrono::steady_clock;
 
-// A reading of what both tiers have done since their start.
-struct Reading {
+// Counters of discovery and of the relays, since their start.
+struct Snapshot {
   nlohmann::json upstream;
   Figures relays;
 };
@@ -38,20 +38,22 @@
         burst_s_(parameters.Number("burst_s", 1.5, 0.001, 60)),
         idle_s_(parameters.Number("idle_s", 6, 0.1, 600)) {}
 
-  Needs Requires() const override { return RelayedRig::Requires({listed_, 1, fleets_}, relays_, watches_); }
+  Needs Requires() const override {
+    return RelayedTestBed::Requirements({listed_, 1, fleets_}, relays_, watches_);
+  }
 
   void Run(Context& context) override {
     for (const std::int64_t watches : watches_)
       for (const std::int64_t relays : relays_)
         for (int repeat = 0; repeat < context.repeats; ++repeat)
-          Trial(*this, context, watches, relays, repeat).Play();
+          Measurement(*this, context, watches, relays, repeat).Run();
   }
 
  private:
-  // One size of the fleet, on discovery itself or on relays.
-  class Trial {
+  // One measurement: a size of the fleet, connected to discovery itself or to relays.
+  class Measurement {
    public:
-    Trial(const FanOut& step, Context& context, std::int64_t watches, std::int64_t relays, int repeat)
+    Measurement(const FanOut& step, Context& context, std::int64_t watches, std::int64_t relays, int repeat)
         : step_(step),
           context_(context),
           watches_(watches),
@@ -59,127 +61,138 @@
           repeat_(repeat),
           relayed_(context, {step.listed_, 1, step.fleets_}, relays, step.batch_ms_) {}
 
-    void Play() {
-      const double empty_bytes = tier_ ? tier_->MemoryBytes() : 0;
-      Join();
-      const Reading rest = Read();
-      rig_.Pass(step_.idle_s_);
-      const Reading before = Read();
-      SetBeat(rest, before);
-      PlaySingles(before, empty_bytes);
-      PlayBurst();
-      PlayRestart();
+    void Run() {
+      const double bytes_without_watches = relay_tier_ ? relay_tier_->MemoryBytes() : 0;
+      StartSidecars();
+      const Snapshot idle_start = TakeSnapshot();
+      test_bed_.Wait(step_.idle_s_);
+      const Snapshot before = TakeSnapshot();
+      MeasureHeartbeats(idle_start, before);
+      MeasureSingleChanges(before, bytes_without_watches);
+      MeasureBurst();
+      MeasureRestart();
     }
 
    private:
-    void Join() {
-      rig_.Add(watches_);
-      rig_.AwaitForce(rig_.Counts().at("generation").get<std::int64_t>());
-      const auto open = [this] { return tier_ ? tier_->Sums().at("watches") : Upstream("watches"); };
-      while (open() < static_cast<double>(watches_)) rig_.Pass(0.1);
+    void StartSidecars() {
+      test_bed_.AddSidecars(watches_);
+      test_bed_.AwaitEffect(test_bed_.DiscoveryCounts().at("generation").get<std::int64_t>());
+      const auto open_watches = [this] {
+        return relay_tier_ ? relay_tier_->Sums().at("watches") : UpstreamCount("watches");
+      };
+      while (open_watches() < static_cast<double>(watches_)) test_bed_.Wait(0.1);
     }
 
-    double Upstream(const char* counter) { return rig_.Counts().at(counter).get<double>(); }
+    double UpstreamCount(const char* counter) {
+      return test_bed_.DiscoveryCounts().at(counter).get<double>();
+    }
 
-    Reading Read() { return {rig_.Counts(), tier_ ? tier_->Sums() : Figures()}; }
+    Snapshot TakeSnapshot() {
+      return {test_bed_.DiscoveryCounts(), relay_tier_ ? relay_tier_->Sums() : Figures()};
+    }
 
-    // The blank lines go on all the time, and are no part of a change.
-    void SetBeat(const Reading& rest, const Reading& before) {
-      const double us = Gain(rest.upstream, before.upstream, "at_us");
+    // Measures the usage of heartbeats, which continue all the time, so that it can be subtracted from the
+    // usage of changes.
+    void MeasureHeartbeats(const Snapshot& idle_start, const Snapshot& before) {
+      const double us = Increase(idle_start.upstream, before.upstream, "at_us");
       for (const char* figure : {"cpu_us", "bytes_out"}) {
-        upstream_beat_[figure] = Gain(rest.upstream, before.upstream, figure) / us;
-        relay_beat_[figure] = RelayGain(rest, before, figure) / us;
+        upstream_heartbeat_[figure] = Increase(idle_start.upstream, before.upstream, figure) / us;
+        relay_heartbeat_[figure] = RelayIncrease(idle_start, before, figure) / us;
       }
     }
 
-    double RelayGain(const Reading& before, const Reading& after, const char* figure) const {
-      return tier_ ? after.relays.at(figure) - before.relays.at(figure) : 0;
+    double RelayIncrease(const Snapshot& before, const Snapshot& after, const char* figure) const {
+      return relay_tier_ ? after.relays.at(figure) - before.relays.at(figure) : 0;
     }
-    double UpstreamTook(const Reading& before, const Reading& after, const char* figure) const {
-      return Gain(before.upstream, after.upstream, figure) -
-             upstream_beat_.at(figure) * Gain(before.upstream, after.upstream, "at_us");
+    double UpstreamUsage(const Snapshot& before, const Snapshot& after, const char* figure) const {
+      return Increase(before.upstream, after.upstream, figure) -
+             upstream_heartbeat_.at(figure) * Increase(before.upstream, after.upstream, "at_us");
     }
-    double RelaysTook(const Reading& before, const Reading& after, const char* figure) const {
-      return RelayGain(before, after, figure) -
-             relay_beat_.at(figure) * Gain(before.upstream, after.upstream, "at_us");
+    double RelayUsage(const Snapshot& before, const Snapshot& after, const char* figure) const {
+      return RelayIncrease(before, after, figure) -
+             relay_heartbeat_.at(figure) * Increase(before.upstream, after.upstream, "at_us");
     }
 
-    // Servers drain and come up again, one after the other.
-    void Change(std::int64_t number) {
+    // Drains the servers one after another; after the last, brings them up again in the same order.
+    void ChangeNextServer(std::int64_t number) {
       const char* const lifecycle = number / step_.listed_ % 2 == 0 ? "draining" : "up";
-      generation_ = rig_.Change({{"first", number % step_.listed_}, {"lifecycle", lifecycle}});
+      generation_ = test_bed_.ChangeServers({{"first", number % step_.listed_}, {"lifecycle", lifecycle}});
     }
 
-    void PlaySingles(const Reading& before, double empty_bytes) {
+    void MeasureSingleChanges(const Snapshot& before, double bytes_without_watches) {
       const auto first = before.upstream.at("generation").get<std::int64_t>();
       for (std::int64_t i = 0; i < step_.changes_; ++i) {
-        Change(i);
-        rig_.Pass(step_.between_s_);
+        ChangeNextServer(i);
+        test_bed_.Wait(step_.between_s_);
       }
-      rig_.AwaitForce(generation_);
-      const Reading after = Read();
+      test_bed_.AwaitEffect(generation_);
+      const Snapshot after = TakeSnapshot();
       const auto changes = static_cast<double>(step_.changes_);
-      Figures figures = {{"upstream_watches", Upstream("watches")},
-                         {"upstream_bytes_per_change", UpstreamTook(before, after, "bytes_out") / changes},
-                         {"upstream_cpu_us_per_change", UpstreamTook(before, after, "cpu_us") / changes},
-                         {"upstream_beat_cpu_us_per_s", 1e6 * upstream_beat_.at("cpu_us")}};
-      if (tier_) {
-        const double bytes = tier_->MemoryBytes();
-        figures["relay_cpu_us_per_change"] = RelaysTook(before, after, "cpu_us") / changes;
-        figures["relay_beat_cpu_us_per_s"] = 1e6 * relay_beat_.at("cpu_us");
+      Figures figures = {{"upstream_watches", UpstreamCount("watches")},
+                         {"upstream_bytes_per_change", UpstreamUsage(before, after, "bytes_out") / changes},
+                         {"upstream_cpu_us_per_change", UpstreamUsage(before, after, "cpu_us") / changes},
+                         {"upstream_beat_cpu_us_per_s", 1e6 * upstream_heartbeat_.at("cpu_us")}};
+      if (relay_tier_) {
+        const double bytes = relay_tier_->MemoryBytes();
+        figures["relay_cpu_us_per_change"] = RelayUsage(before, after, "cpu_us") / changes;
+        figures["relay_beat_cpu_us_per_s"] = 1e6 * relay_heartbeat_.at("cpu_us");
         figures["relay_memory_bytes"] = bytes / static_cast<double>(relays_);
-        figures["relay_memory_bytes_per_watch"] = (bytes - empty_bytes) / static_cast<double>(watches_);
+        figures["relay_memory_bytes_per_watch"] =
+            (bytes - bytes_without_watches) / static_cast<double>(watches_);
       }
-      AddSpread("in_force", rig_.Force(rig_.ChangesSince(first)), figures);
+      AddDelays("in_force", test_bed_.EffectDelays(test_bed_.ChangesSince(first)), figures);
       Record("fan_out", std::move(figures));
     }
 
-    // As after a region has healed: many servers change one by one in a short time.
-    void PlayBurst() {
-      const Reading before = Read();
+    // Many servers change one by one in a short time, as after a region has been healed.
+    void MeasureBurst() {
+      const Snapshot before = TakeSnapshot();
       const auto first = before.upstream.at("generation").get<std::int64_t>();
       const auto begin = Clock::now();
       for (std::int64_t i = 0; i < step_.burst_; ++i) {
-        Change(step_.changes_ + i);
-        rig_.Pass(step_.burst_s_ / static_cast<double>(step_.burst_));
+        ChangeNextServer(step_.changes_ + i);
+        test_bed_.Wait(step_.burst_s_ / static_cast<double>(step_.burst_));
       }
-      const std::chrono::duration<double, std::milli> told = Clock::now() - begin;
-      rig_.AwaitForce(generation_);
+      const std::chrono::duration<double, std::milli> sent = Clock::now() - begin;
+      test_bed_.AwaitEffect(generation_);
       const std::chrono::duration<double, std::milli> all = Clock::now() - begin;
-      const Reading after = Read();
+      const Snapshot after = TakeSnapshot();
       const auto per_watch = static_cast<double>(watches_);
-      Figures figures = {{"upstream_bytes", UpstreamTook(before, after, "bytes_out")},
-                         {"upstream_cpu_us", UpstreamTook(before, after, "cpu_us")},
-                         {"bytes_per_watch", (tier_ ? RelaysTook(before, after, "bytes_out")
-                                                    : UpstreamTook(before, after, "bytes_out")) /
-                                                 per_watch},
-                         {"objects_per_watch", (tier_ ? RelayGain(before, after, "objects")
-                                                      : Gain(before.upstream, after.upstream, "objects")) /
-                                                   per_watch},
-                         // Changes wait for a discovery that is busy, which their own times do not show.
-                         {"told_within_ms", told.count()},
-                         {"all_in_force_within_ms", all.count()}};
-      if (tier_) figures["relay_cpu_us"] = RelaysTook(before, after, "cpu_us");
-      AddSpread("in_force", rig_.Force(rig_.ChangesSince(first)), figures);
+      Figures figures = {
+          {"upstream_bytes", UpstreamUsage(before, after, "bytes_out")},
+          {"upstream_cpu_us", UpstreamUsage(before, after, "cpu_us")},
+          {"bytes_per_watch", (relay_tier_ ? RelayUsage(before, after, "bytes_out")
+                                           : UpstreamUsage(before, after, "bytes_out")) /
+                                  per_watch},
+          {"objects_per_watch", (relay_tier_ ? RelayIncrease(before, after, "objects")
+                                             : Increase(before.upstream, after.upstream, "objects")) /
+                                    per_watch},
+          // Delays are counted from when discovery applies a change. If it is busy, it applies changes late,
+          // which only these two times include.
+          {"told_within_ms", sent.count()},
+          {"all_in_force_within_ms", all.count()}};
+      if (relay_tier_) figures["relay_cpu_us"] = RelayUsage(before, after, "cpu_us");
+      AddDelays("in_force", test_bed_.EffectDelays(test_bed_.ChangesSince(first)), figures);
       Record("fan_out_burst", std::move(figures));
     }
 
-    // All sidecars are started again at once and know nothing.
-    void PlayRestart() {
-      for (std::int64_t region = 0; region < std::max<std::int64_t>(relays_, 1); ++region) rig_.End(region);
-      const Reading before = Read();
-      Join();
-      const Reading after = Read();
-      Figures figures = {{"upstream_calls", Gain(before.upstream, after.upstream, "calls")},
-                         {"upstream_whole_lists", Gain(before.upstream, after.upstream, "whole_lists")},
-                         {"upstream_bytes", Gain(before.upstream, after.upstream, "bytes_out")},
-                         {"upstream_cpu_us", Gain(before.upstream, after.upstream, "cpu_us")}};
-      if (tier_) {
-        figures["relay_cpu_us"] = RelayGain(before, after, "cpu_us");
-        figures["relay_whole_lists"] = RelayGain(before, after, "whole_lists");
-        figures["relay_refused"] = RelayGain(before, after, "refused");
+    // All sidecars are restarted at once, without a list.
+    void MeasureRestart() {
+      for (std::int64_t region = 0; region < std::max<std::int64_t>(relays_, 1); ++region)
+        test_bed_.RemoveSidecars(region);
+      const Snapshot before = TakeSnapshot();
+      StartSidecars();
+      const Snapshot after = TakeSnapshot();
+      Figures figures = {{"upstream_calls", Increase(before.upstream, after.upstream, "calls")},
+                         {"upstream_whole_lists", Increase(before.upstream, after.upstream, "whole_lists")},
+                         {"upstream_bytes", Increase(before.upstream, after.upstream, "bytes_out")},
+                         {"upstream_cpu_us", Increase(before.upstream, after.upstream, "cpu_us")}};
+      if (relay_tier_) {
+        figures["relay_cpu_us"] = RelayIncrease(before, after, "cpu_us");
+        figures["relay_whole_lists"] = RelayIncrease(before, after, "whole_lists");
+        figures["relay_refused"] = RelayIncrease(before, after, "refused");
       }
-      AddSpread("joined", rig_.Joined(), figures);
+      AddDelays("joined", test_bed_.FirstListDelays(), figures);
       Record("fan_out_restart", std::move(figures));
     }
 
@@ -196,16 +209,16 @@
     const std::int64_t watches_;
     const std::int64_t relays_;
     const int repeat_;
-    RelayedRig relayed_;
-    DiscoveryRig& rig_ = relayed_.rig;
-    const std::optional<RelayTier>& tier_ = relayed_.tier;
-    Figures upstream_beat_;  // by figure, each microsecond
-    Figures relay_beat_;
+    RelayedTestBed relayed_;
+    DiscoveryTestBed& test_bed_ = relayed_.test_bed;
+    const std::optional<RelayTier>& relay_tier_ = relayed_.relay_tier;
+    Figures upstream_heartbeat_;  // by figure, per microsecond
+    Figures relay_heartbeat_;
     std::int64_t generation_ = 0;
   };
 
   const std::vector<std::int64_t> watches_;
-  const std::vector<std::int64_t> relays_;  // none: the sidecars watch discovery itself
+  const std::vector<std::int64_t> relays_;  // 0: the sidecars watch discovery itself
   const std::int64_t listed_;
   const std::int64_t fleets_;
   const std::int64_t batch_ms_;
--- a/scale/fan_out.hpp
+++ b/scale/fan_out.hpp
@@ -1,5 +1,5 @@
-// What a fan-out tier takes and saves: single changes, bursts of them, and a restart of all sidecars, with
-// relays and without.
+// Step "fan_out": what a tier of relays costs and saves, by measuring single changes, a burst of changes and
+// a restart of all sidecars with and without relays.
 #ifndef MERLINRUN_SCALE_FAN_OUT_HPP_
 #define MERLINRUN_SCALE_FAN_OUT_HPP_
 
--- a/scale/fleet_process.cpp
+++ b/scale/fleet_process.cpp
@@ -19,10 +19,10 @@
 
 constexpr Micros kTenthMs = 100;
 
-class Bins {
+class DelayHistogram {
  public:
   void Add(Micros time) { ++counts_[std::max<Micros>(time, 0) / kTenthMs]; }
-  json Answer() const {
+  json ToJson() const {
     json pairs = json::array();
     for (const auto& [tenths, count] : counts_) pairs.push_back({tenths, count});
     return {{"tenths_ms", pairs}};
@@ -36,42 +36,43 @@
  public:
   explicit FleetProcess(std::uint16_t port)
       : io_(1),
-        pushed_(MakeSettings(false)),
-        asked_(MakeSettings(true)),
-        commands_(io_, port, [this](const json& command) { return Do(command); }) {}
+        automatic_settings_(MakeSettings(false)),
+        subscribe_settings_(MakeSettings(true)),
+        commands_(io_, port, [this](const json& command) { return Execute(command); }) {}
   void Run() { io_.run(); }
 
  private:
   struct Member {
     int region;
-    std::unique_ptr<HollowSidecar> sidecar;
+    std::unique_ptr<SimulatedSidecar> sidecar;
   };
 
-  json Do(const json& command) {
-    const std::string what = command.at("do").get<std::string>();
-    if (what == "add") return Add(command);
-    if (what == "reload") return Reload(command);
-    if (what == "end") return End(command.value("region", -1));
-    if (what == "status") return Status(command);
-    if (what == "force") return Force(command.at("changes"), command.value("keep", false));
-    if (what == "joined") return Times(command.value("region", -1), &HollowSidecar::first_list_after);
-    if (what == "watching") return Times(command.value("region", -1), &HollowSidecar::watching_after);
-    throw std::runtime_error("unknown command " + what);
+  json Execute(const json& command) {
+    const std::string action = command.at("do").get<std::string>();
+    if (action == "add") return Add(command);
+    if (action == "reload") return Reload(command);
+    if (action == "end") return End(command.value("region", -1));
+    if (action == "status") return Status(command);
+    if (action == "force") return EffectDelays(command.at("changes"), command.value("keep", false));
+    if (action == "joined") return Delays(command.value("region", -1), &SimulatedSidecar::time_to_first_list);
+    if (action == "watching") return Delays(command.value("region", -1), &SimulatedSidecar::time_to_watch);
+    throw std::runtime_error("unknown command " + action);
   }
 
   static net::Tcp::endpoint Address(const json& command) {
     const auto address = net::ParseAddress(command.at("address").get<std::string>());
-    if (!address) throw std::runtime_error("no address");
+    if (!address) throw std::runtime_error("invalid address");
     return *address;
   }
 
   json Add(const json& command) {
     const net::Tcp::endpoint address = Address(command);
-    const drill::WireSettings& settings = command.value("must_subscribe", false) ? asked_ : pushed_;
+    const drill::WireSettings& settings =
+        command.value("must_subscribe", false) ? subscribe_settings_ : automatic_settings_;
     std::uint64_t seed = command.value("seed", std::uint64_t{1});
-    for (auto left = command.at("sidecars").get<std::size_t>(); left > 0; --left) {
+    for (auto remaining = command.at("sidecars").get<std::size_t>(); remaining > 0; --remaining) {
       members_.push_back({command.value("region", 0),
-                          std::make_unique<HollowSidecar>(io_, settings, address, seed++, log_)});
+                          std::make_unique<SimulatedSidecar>(io_, settings, address, seed++, log_)});
       members_.back().sidecar->Start();
     }
     return {{"at_us", SteadyNow()}};
@@ -94,32 +95,32 @@
     json status = OwnUsage(command.value("trim", false));
     status["sidecars"] = members_.size();
     status["settled"] = std::count_if(members_.begin(), members_.end(),
-                                      [](const Member& m) { return m.sidecar->watching_after() > 0; });
+                                      [](const Member& m) { return m.sidecar->time_to_watch() > 0; });
     status["at"] = std::count_if(members_.begin(), members_.end(),
                                  [&](const Member& m) { return m.sidecar->generation() >= generation; });
     return status;
   }
 
-  json Force(const json& changes, bool keep) {
-    Bins bins;
+  json EffectDelays(const json& changes, bool keep) {
+    DelayHistogram histogram;
     for (const json& change : changes)
       for (const Micros at : log_.Times(change.at(0).get<std::int64_t>()))
-        bins.Add(at - change.at(1).get<Micros>());
+        histogram.Add(at - change.at(1).get<Micros>());
     if (!keep) log_.Clear();
-    return bins.Answer();
+    return histogram.ToJson();
   }
 
-  json Times(int region, Micros (HollowSidecar::*time)() const) const {
-    Bins bins;
+  json Delays(int region, Micros (SimulatedSidecar::*time)() const) const {
+    DelayHistogram histogram;
     for (const Member& m : members_)
-      if ((region < 0 || m.region == region) && (*m.sidecar.*time)() > 0) bins.Add((*m.sidecar.*time)());
-    return bins.Answer();
+      if ((region < 0 || m.region == region) && (*m.sidecar.*time)() > 0) histogram.Add((*m.sidecar.*time)());
+    return histogram.ToJson();
   }
 
   asio::io_context io_;
-  const drill::WireSettings pushed_;
-  const drill::WireSettings asked_;
-  ForceLog log_;
+  const drill::WireSettings automatic_settings_;
+  const drill::WireSettings subscribe_settings_;
+  EffectLog log_;
   std::vector<Member> members_;
   CommandLoop commands_;
 };
--- a/scale/fleet_process.hpp
+++ b/scale/fleet_process.hpp
@@ -1,4 +1,4 @@
-// Hollow sidecars in a process of their own.
+// Simulated sidecars in a process of their own.
 #ifndef MERLINRUN_SCALE_FLEET_PROCESS_HPP_
 #define MERLINRUN_SCALE_FLEET_PROCESS_HPP_
 
@@ -6,17 +6,19 @@
 
 namespace merlinrun::scale {
 
-// Does what the run tells it over the line at that loopback port, until the line ends. Commands by "do":
-// - "add": sidecars, address, region, seed, must_subscribe; starts them all at once
-// - "reload": region, address; all of the region are moved there at once
-// - "end": region (-1 = all); their connections are closed
-// - "status": generation, trim; answers "sidecars", "settled" (how many have had the first object of a watch
-//   since they were started or moved), "at" (how many act on that generation or a later one) and usage
-// - "force": changes, pairs of generation and time, keep; answers "tenths_ms", pairs of a time from change to
-//   force and how many sidecars took it, and forgets what it has noted unless told to keep it
-// - "joined", "watching": region; answer "tenths_ms" likewise, from a sidecar's start or move to its first
-// list,
-//   and to the first object of the watch upon it
+// Executes the commands of the run, which listens for this process on that loopback port, until the run
+// closes the connection. Commands, by the value of "do", with their parameters:
+// - "add": sidecars, address, region, seed, must_subscribe. Starts that many sidecars at once.
+// - "reload": region, address. Switches all sidecars of the region to that address at once.
+// - "end": region (-1 = all). Removes these sidecars and closes their connections.
+// - "status": generation, trim. Returns the number of "sidecars", of those that have received the first
+//   object of a watch since their start or last reload ("settled"), and of those that use that generation or
+//   a later one ("at"), and resource usage.
+// - "force": changes (pairs of a generation and the time of the change), keep. Returns "tenths_ms": pairs of
+//   a delay, from a change until it takes effect, and the number of sidecars with that delay. Forgets the
+//   recorded times unless "keep" is set.
+// - "joined", "watching": region. Return "tenths_ms" likewise, with the delay from a sidecar's start or last
+//   reload to its first list, or to the first object of the watch that follows it.
 int RunFleetProcess(std::uint16_t port);
 
 }  // namespace merlinrun::scale
--- a/scale/hollow.hpp
+++ b/scale/hollow.hpp
@@ -1,5 +1,5 @@
-// Hollow sidecars: the sidecar's own client of discovery and its own decision module, without the callers'
-// side. Thousands of them fit into one process.
+// Simulated sidecars: the sidecar's discovery client and its balancer, without listeners or connections to
+// servers. Thousands of them fit into one process.
 #ifndef MERLINRUN_SCALE_HOLLOW_HPP_
 #define MERLINRUN_SCALE_HOLLOW_HPP_
 
@@ -17,12 +17,13 @@
 
 namespace merlinrun::scale {
 
-// When changes came into force at sidecars, by the one clock of the machine.
-class ForceLog {
+// Records when list changes took effect at sidecars. All times are from the machine's steady clock.
+class EffectLog {
  public:
-  // A sidecar that held `before` (net::Discovery::kUnknown: nothing) acts on `generation` from `at` on.
-  void Note(std::int64_t before, std::int64_t generation, Micros at);
-  // Of the changes with that generation: when each sidecar that held an older list began to act on it.
+  // A sidecar with the list of generation `before` (net::Discovery::kUnknown: no list) uses `generation` from
+  // `at` on. Records `at` for every change in between; nothing if there was no list before.
+  void Record(std::int64_t before, std::int64_t generation, Micros at);
+  // Returns when the change with that generation took effect at each sidecar that had an older list.
   const std::vector<Micros>& Times(std::int64_t generation) const;
   void Clear() { times_.clear(); }
 
@@ -30,28 +31,29 @@
   std::map<std::int64_t, std::vector<Micros>> times_;
 };
 
-// Does with lists, failed calls and timers what Sidecar does with them; keeps no connections to servers.
-class HollowSidecar : private ActionSink {
+// Handles lists, failed discovery calls and timers as Sidecar does, but keeps no connections to servers.
+class SimulatedSidecar : private ActionSink {
  public:
-  // `settings` and `log` outlive it. Throws std::runtime_error if the settings make no sense.
-  HollowSidecar(boost::asio::io_context& io, const drill::WireSettings& settings,
-                net::Tcp::endpoint discovery, std::uint64_t seed, ForceLog& log);
-  ~HollowSidecar() override;
-  HollowSidecar(const HollowSidecar&) = delete;
-  HollowSidecar& operator=(const HollowSidecar&) = delete;
+  // `settings` and `log` must outlive the sidecar. Throws std::runtime_error if the settings are invalid.
+  SimulatedSidecar(boost::asio::io_context& io, const drill::WireSettings& settings,
+                   net::Tcp::endpoint discovery, std::uint64_t seed, EffectLog& log);
+  ~SimulatedSidecar() override;
+  SimulatedSidecar(const SimulatedSidecar&) = delete;
+  SimulatedSidecar& operator=(const SimulatedSidecar&) = delete;
 
   void Start();
-  // Its configuration is read again and has that address of discovery. As in Sidecar: what it knows stays in
-  // force until it has the list from there.
+  // Switches to the discovery at that address, as after a reload of the configuration. As in Sidecar, the
+  // known list is used until the full list from the new address has arrived.
   void Reload(const net::Tcp::endpoint& discovery);
-  // Of the last list that the module was given; net::Discovery::kUnknown before the first.
+  // The generation of the last list passed to the balancer; net::Discovery::kUnknown before the first.
   std::int64_t generation() const { return generation_; }
-  // Since Start(), or the last Reload(): the time until the first list and until the first object of the
-  // watch upon it; 0 before them.
-  Micros first_list_after() const { return first_list_after_; }
-  Micros watching_after() const { return watching_after_; }
-  // The server that the module sends a request to now, which is served at once; empty if it sends it nowhere.
-  std::string SendOne();
+  // The times from Start(), or the last Reload(), to the first list and to the first object of the watch that
+  // follows it; 0 until then.
+  Micros time_to_first_list() const { return time_to_first_list_; }
+  Micros time_to_watch() const { return time_to_watch_; }
+  // Passes a request to the balancer. Returns the server that the balancer sends it to, and reports it as
+  // served at once; empty if the balancer does not send it.
+  std::string SendRequest();
 
  private:
   void Send(std::string_view, const std::string& server, Micros) override { sent_to_ = server; }
@@ -68,18 +70,18 @@
 
   boost::asio::io_context& io_;
   const drill::WireSettings& settings_;
-  ForceLog& log_;
+  EffectLog& log_;
   const Micros clock_offset_;
   net::Discovery discovery_;
   std::unique_ptr<Balancer> balancer_;
   std::int64_t generation_ = net::Discovery::kUnknown;
-  Micros started_ = 0;  // or reloaded
-  Micros first_list_after_ = 0;
-  Micros watching_after_ = 0;
+  Micros started_ = 0;  // time of Start() or of the last Reload()
+  Micros time_to_first_list_ = 0;
+  Micros time_to_watch_ = 0;
   std::uint64_t requests_ = 0;
   std::string sent_to_;
-  // Guards against timers that outlive it.
-  std::shared_ptr<const char> life_ = std::make_shared<const char>();
+  // Lets handlers that run after the destruction detect it.
+  std::shared_ptr<const char> lifetime_ = std::make_shared<const char>();
 };
 
 }  // namespace merlinrun::scale
--- a/scale/hollow_and_real.cpp
+++ b/scale/hollow_and_real.cpp
@@ -19,52 +19,55 @@
 
 using nlohmann::json;
 
-constexpr auto kSettle = std::chrono::seconds(1);  // after a start, and after the last change
-constexpr auto kLongestStart = std::chrono::seconds(60);
+constexpr auto kSettleTime = std::chrono::seconds(1);  // after a start and after the last change
+constexpr auto kStartTimeout = std::chrono::seconds(60);
 
-// Sidecars of either kind, in one process.
-class Subject {
+// Sidecars of one kind in one process.
+class SidecarsUnderTest {
  public:
-  virtual ~Subject() = default;
-  // Starts them all, and returns once they have the list.
+  virtual ~SidecarsUnderTest() = default;
+  // Starts all sidecars and returns once each has the list.
   virtual void Start(const std::string& discovery, std::int64_t generation, std::uint64_t seed) = 0;
-  virtual std::int64_t sidecars() const = 0;  // started between the readings at the start's ends
+  virtual std::int64_t sidecars() const = 0;  // how many sidecars the measurements below cover
   virtual std::int64_t running() const = 0;
-  // Since that start began, and taken since; hollow ones give back first what they do not use.
+  // CPU time used and memory gained since the measured start. Simulated sidecars first return unused heap
+  // memory to the system.
   virtual std::int64_t cpu_us() = 0;
   virtual std::int64_t memory_bytes() = 0;
 };
 
-class HollowSubject : public Subject {
+class SimulatedSidecars : public SidecarsUnderTest {
  public:
-  HollowSubject(const Context& context, std::int64_t sidecars)
+  SimulatedSidecars(const Context& context, std::int64_t sidecars)
       : fleet_(kFleetProcess, context.scratch / "fleet.log"), sidecars_(sidecars) {}
 
-  // The first one pays for what the process takes once, such as the room to read a list in.
+  // A first sidecar is started before the baseline, so that one-time costs of the process, such as the
+  // buffers for reading a list, are not counted.
   void Start(const std::string& discovery, std::int64_t generation, std::uint64_t seed) override {
-    Add(1, discovery, generation, seed);
+    StartSidecars(1, discovery, generation, seed);
     cpu_before_ = fleet_.child().cpu_us();
-    memory_before_ = Resident();
-    Add(sidecars_, discovery, generation, seed + 1);
+    memory_before_ = ResidentBytes();
+    StartSidecars(sidecars_, discovery, generation, seed + 1);
   }
   std::int64_t sidecars() const override { return sidecars_; }
   std::int64_t running() const override { return started_; }
   std::int64_t cpu_us() override { return fleet_.child().cpu_us() - cpu_before_; }
-  std::int64_t memory_bytes() override { return Resident() - memory_before_; }
+  std::int64_t memory_bytes() override { return ResidentBytes() - memory_before_; }
 
  private:
-  void Add(std::int64_t count, const std::string& discovery, std::int64_t generation, std::uint64_t seed) {
+  void StartSidecars(std::int64_t count, const std::string& discovery, std::int64_t generation,
+                     std::uint64_t seed) {
     fleet_.Ask({{"do", "add"}, {"sidecars", count}, {"address", discovery}, {"seed", seed}});
     started_ += count;
-    const auto end = std::chrono::steady_clock::now() + kLongestStart;
-    const json ask = {{"do", "status"}, {"generation", generation}};
-    while (fleet_.Ask(ask).at("at").get<std::int64_t>() < started_) {
+    const auto end = std::chrono::steady_clock::now() + kStartTimeout;
+    const json request = {{"do", "status"}, {"generation", generation}};
+    while (fleet_.Ask(request).at("at").get<std::int64_t>() < started_) {
       if (std::chrono::steady_clock::now() > end)
-        throw std::runtime_error("hollow sidecars have no list in time");
+        throw std::runtime_error("simulated sidecars did not receive the list in time");
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
   }
-  std::int64_t Resident() {
+  std::int64_t ResidentBytes() {
     return fleet_.Ask({{"do", "status"}, {"trim", true}}).at("rss_bytes").get<std::int64_t>();
   }
 
@@ -75,14 +78,14 @@
   std::int64_t memory_before_ = 0;
 };
 
-// One, for it has its process to itself.
-class RealSubject : public Subject {
+// A single sidecar, as each has a process of its own.
+class SingleRealSidecar : public SidecarsUnderTest {
  public:
-  explicit RealSubject(const Context& context) : context_(context) {}
+  explicit SingleRealSidecar(const Context& context) : context_(context) {}
 
   void Start(const std::string& discovery, std::int64_t, std::uint64_t seed) override {
     const auto address = net::ParseAddress(discovery);
-    if (!address) throw std::runtime_error("discovery has no address");
+    if (!address) throw std::runtime_error("invalid address of discovery");
     sidecar_ = std::make_unique<RealSidecar>(
         SidecarOptions{context_.sidecar, context_.scratch, "n0", *address, seed});
     net::asio::io_context io(1);
@@ -98,75 +101,76 @@
   std::unique_ptr<RealSidecar> sidecar_;
 };
 
-class HollowAndReal : public Step {
+class SimulatedAndReal : public Step {
  public:
-  explicit HollowAndReal(Parameters& parameters)
+  explicit SimulatedAndReal(Parameters& parameters)
       : listed_(parameters.Integers("listed", {100, 1000, 4000, 14'000}, 1, 50'000)),
-        hollow_(parameters.Integer("hollow", 20, 1, 1000)),
+        simulated_(parameters.Integer("hollow", 20, 1, 1000)),
         changes_(parameters.Integer("changes", 100, 1, 10'000)),
         changes_per_s_(parameters.Number("changes_per_s", 25, 0.1, 1000)),
         idle_s_(parameters.Number("idle_s", 6, 0.1, 600)) {}
 
   Needs Requires() const override {
-    const auto most = static_cast<double>(*std::max_element(listed_.begin(), listed_.end()));
-    const auto hollow = static_cast<std::size_t>(hollow_);
-    Needs needs;
-    needs.descriptors = hollow + 64;  // discovery's, and as many a fleet's
-    needs.ports = 3;                  // a line, discovery and the sidecar
-    needs.processes = 2;
-    // Discovery and either a fleet or a sidecar; a list takes under a kilobyte a server.
-    needs.memory_mb = 256 + static_cast<double>(hollow_ + 4) * 0.001 * most;
-    return needs;
+    const auto max_listed = static_cast<double>(*std::max_element(listed_.begin(), listed_.end()));
+    const auto simulated = static_cast<std::size_t>(simulated_);
+    Needs requirements;
+    requirements.descriptors = simulated + 64;  // of discovery, and as many of a fleet
+    requirements.ports = 3;                     // a control connection, discovery and the sidecar
+    requirements.processes = 2;
+    // Discovery and either a fleet or a sidecar; a list takes less than a kilobyte per server.
+    requirements.memory_mb = 256 + static_cast<double>(simulated_ + 4) * 0.001 * max_listed;
+    return requirements;
   }
 
   void Run(Context& context) override {
     for (int repeat = 0; repeat < context.repeats; ++repeat) {
       for (const std::int64_t listed : listed_) {
         if (context.should_stop()) return;
-        HollowSubject hollow(context, hollow_);
-        Measure(context, hollow, listed, false, repeat);
+        SimulatedSidecars simulated(context, simulated_);
+        Measure(context, simulated, listed, false, repeat);
         if (context.should_stop()) return;
-        RealSubject real(context);
+        SingleRealSidecar real(context);
         Measure(context, real, listed, true, repeat);
       }
     }
   }
 
  private:
-  void Measure(Context& context, Subject& subject, std::int64_t listed, bool real, int repeat) const {
+  void Measure(Context& context, SidecarsUnderTest& sidecars_under_test, std::int64_t listed, bool real,
+               int repeat) const {
     Part discovery(kDiscoveryProcess, context.scratch / "discovery.log");
     const json opened = discovery.Ask({{"do", "open"}, {"listed", listed}});
-    subject.Start(opened.at("addresses").at(0).get<std::string>(),
-                  opened.at("generation").get<std::int64_t>(),
-                  context.seed + static_cast<std::uint64_t>(repeat));
+    sidecars_under_test.Start(opened.at("addresses").at(0).get<std::string>(),
+                              opened.at("generation").get<std::int64_t>(),
+                              context.seed + static_cast<std::uint64_t>(repeat));
     const Micros started_at = SteadyNow();
-    Pass(context, kSettle);
-    const std::int64_t start_cpu = subject.cpu_us();
+    WaitFor(context, kSettleTime);
+    const std::int64_t start_cpu = sidecars_under_test.cpu_us();
     const json counts = discovery.Ask({{"do", "counts"}});
-    const std::int64_t memory = subject.memory_bytes();
+    const std::int64_t memory = sidecars_under_test.memory_bytes();
 
     const Micros idle_from = SteadyNow();
-    const std::int64_t idle_cpu = subject.cpu_us();
-    Pass(context, std::chrono::duration<double>(idle_s_));
+    const std::int64_t idle_cpu = sidecars_under_test.cpu_us();
+    WaitFor(context, std::chrono::duration<double>(idle_s_));
     const Micros changes_from = SteadyNow();
-    const std::int64_t changes_cpu = subject.cpu_us();
+    const std::int64_t changes_cpu = sidecars_under_test.cpu_us();
     const double idle = PerUs(changes_cpu - idle_cpu, changes_from - idle_from);
-    Change(context, discovery, listed);
-    Pass(context, kSettle);
-    const double changed = static_cast<double>(subject.cpu_us() - changes_cpu) -
+    ApplyChanges(context, discovery, listed);
+    WaitFor(context, kSettleTime);
+    const double changed = static_cast<double>(sidecars_under_test.cpu_us() - changes_cpu) -
                            idle * static_cast<double>(SteadyNow() - changes_from);
     if (context.should_stop()) return;
 
-    const auto each = static_cast<double>(subject.sidecars());
-    const auto running = static_cast<double>(subject.running());
+    const auto measured = static_cast<double>(sidecars_under_test.sidecars());
+    const auto running = static_cast<double>(sidecars_under_test.running());
     Sample sample;
     sample.measure = "hollow_and_real";
     sample.conditions = {{"listed", static_cast<double>(listed)}, {"real", real ? 1.0 : 0.0}};
     sample.repeat = repeat;
     sample.figures = {
-        {"memory_bytes_per_sidecar", static_cast<double>(memory) / each},
+        {"memory_bytes_per_sidecar", static_cast<double>(memory) / measured},
         {"start_cpu_us",
-         (static_cast<double>(start_cpu) - idle * static_cast<double>(idle_from - started_at)) / each},
+         (static_cast<double>(start_cpu) - idle * static_cast<double>(idle_from - started_at)) / measured},
         {"start_bytes_in", counts.at("bytes_out").get<double>() / running},
         {"idle_cpu_us_per_s", 1e6 * idle / running},
         {"cpu_us_per_change", changed / running / static_cast<double>(changes_)},
@@ -177,25 +181,25 @@
   static double PerUs(std::int64_t cpu_us, Micros time) {
     return static_cast<double>(cpu_us) / static_cast<double>(time);
   }
-  static void Pass(const Context& context, std::chrono::duration<double> time) {
+  static void WaitFor(const Context& context, std::chrono::duration<double> time) {
     const auto end = std::chrono::steady_clock::now() + time;
     while (!context.should_stop() && std::chrono::steady_clock::now() < end)
       std::this_thread::sleep_for(std::min<std::chrono::duration<double>>(
           end - std::chrono::steady_clock::now(), std::chrono::milliseconds(100)));
   }
-  // One server after another drains and comes up again, each in an object of its own.
-  void Change(const Context& context, Part& discovery, std::int64_t listed) const {
+  // Drains one server after another and brings it up again, each change in an object of its own.
+  void ApplyChanges(const Context& context, Part& discovery, std::int64_t listed) const {
     const auto from = std::chrono::steady_clock::now();
     for (std::int64_t i = 0; i < changes_ && !context.should_stop(); ++i) {
       discovery.Ask(
           {{"do", "change"}, {"first", i / 2 % listed}, {"lifecycle", i % 2 == 0 ? "draining" : "up"}});
       const std::chrono::duration<double> due(static_cast<double>(i + 1) / changes_per_s_);
-      Pass(context, from + due - std::chrono::steady_clock::now());
+      WaitFor(context, from + due - std::chrono::steady_clock::now());
     }
   }
 
   const std::vector<std::int64_t> listed_;
-  const std::int64_t hollow_;
+  const std::int64_t simulated_;
   const std::int64_t changes_;
   const double changes_per_s_;
   const double idle_s_;
@@ -204,7 +208,7 @@
 }  // namespace
 
 std::unique_ptr<Step> MakeHollowAndReal(Parameters& parameters) {
-  return std::make_unique<HollowAndReal>(parameters);
+  return std::make_unique<SimulatedAndReal>(parameters);
 }
 
 }  // namespace merlinrun::scale
--- a/scale/hollow_and_real.hpp
+++ b/scale/hollow_and_real.hpp
@@ -1,5 +1,5 @@
-// Step "hollow_and_real": the same readings of hollow sidecars and of the shipped program, by the number of
-// servers listed. Shows how far figures of hollow ones can stand for real ones.
+// Step "hollow_and_real": the same measurements of simulated sidecars and of the shipped program, by the
+// number of listed servers. Shows how well the figures of simulated sidecars represent real ones.
 #ifndef MERLINRUN_SCALE_HOLLOW_AND_REAL_HPP_
 #define MERLINRUN_SCALE_HOLLOW_AND_REAL_HPP_
 
--- a/scale/known_servers.cpp
+++ b/scale/known_servers.cpp
@@ -22,85 +22,90 @@
 namespace http = net::http;
 using net::ErrorCode;
 
-constexpr auto kBetweenAsks = std::chrono::milliseconds(25);  // some hundred doors share the machine
-constexpr auto kLongestAnswer = std::chrono::seconds(1);
+constexpr auto kPollInterval = std::chrono::milliseconds(25);  // several hundred may share the machine
+constexpr auto kResponseTimeout = std::chrono::seconds(1);
 
 }  // namespace
 
-// One call to a connection, as the door has it.
-class KnownServersWatch::Door : public std::enable_shared_from_this<Door> {
+// Polls one endpoint with a connection per request, as the endpoint serves only one request per connection.
+class KnownServersWatch::EndpointPoller : public std::enable_shared_from_this<EndpointPoller> {
  public:
-  Door(asio::io_context& io, net::Tcp::endpoint address, std::size_t awaited, std::function<void()> told)
-      : io_(io), address_(std::move(address)), awaited_(awaited), told_(std::move(told)), pause_(io) {
+  EndpointPoller(asio::io_context& io, net::Tcp::endpoint address, std::size_t expected,
+                 std::function<void()> on_reached)
+      : io_(io),
+        address_(std::move(address)),
+        expected_(expected),
+        on_reached_(std::move(on_reached)),
+        pause_timer_(io) {
     request_.method(http::verb::get);
     request_.target("/ops/stats");
     request_.set(http::field::host, "ops");
   }
 
-  void Ask() {
-    if (told_ == nullptr) return;
+  void Poll() {
+    if (on_reached_ == nullptr) return;
     buffer_.clear();
     response_ = {};
     stream_.emplace(io_);
-    stream_->expires_after(kLongestAnswer);
+    stream_->expires_after(kResponseTimeout);
     stream_->async_connect(address_, [self = shared_from_this()](ErrorCode error) {
-      if (error) return self->Pause();
+      if (error) return self->PollLater();
       http::async_write(*self->stream_, self->request_, [self](ErrorCode failed, std::size_t) {
-        if (failed) return self->Pause();
+        if (failed) return self->PollLater();
         self->Read();
       });
     });
   }
   void Close() {
-    told_ = nullptr;
+    on_reached_ = nullptr;
     if (stream_) stream_->close();
-    pause_.cancel();
+    pause_timer_.cancel();
   }
 
  private:
   void Read() {
     http::async_read(*stream_, buffer_, response_, [self = shared_from_this()](ErrorCode error, std::size_t) {
-      if (error || self->told_ == nullptr || !self->Tells()) return self->Pause();
-      std::exchange(self->told_, nullptr)();
+      if (error || self->on_reached_ == nullptr || !self->HasExpectedCount()) return self->PollLater();
+      std::exchange(self->on_reached_, nullptr)();
     });
   }
-  bool Tells() const {
+  bool HasExpectedCount() const {
     const auto figures = nlohmann::json::parse(response_.body(), nullptr, /*allow_exceptions=*/false);
-    return figures.is_object() && figures.value("known_servers", std::size_t{0}) == awaited_;
+    return figures.is_object() && figures.value("known_servers", std::size_t{0}) == expected_;
   }
-  void Pause() {
-    if (told_ == nullptr) return;
+  void PollLater() {
+    if (on_reached_ == nullptr) return;
     stream_->close();
-    pause_.expires_after(kBetweenAsks);
-    pause_.async_wait([self = shared_from_this()](ErrorCode stopped) {
-      if (!stopped) self->Ask();
+    pause_timer_.expires_after(kPollInterval);
+    pause_timer_.async_wait([self = shared_from_this()](ErrorCode stopped) {
+      if (!stopped) self->Poll();
     });
   }
 
   asio::io_context& io_;
   const net::Tcp::endpoint address_;
-  const std::size_t awaited_;
-  std::function<void()> told_;  // null once it was called, or is to be called no more
-  asio::steady_timer pause_;
+  const std::size_t expected_;
+  std::function<void()> on_reached_;  // null once called or closed
+  asio::steady_timer pause_timer_;
   std::optional<beast::tcp_stream> stream_;
   beast::flat_buffer buffer_;
   http::request<http::empty_body> request_;
   http::response<http::string_body> response_;
 };
 
-KnownServersWatch::KnownServersWatch(asio::io_context& io, const std::vector<net::Tcp::endpoint>& doors,
-                                     std::size_t awaited, const std::function<void()>& told) {
-  for (const net::Tcp::endpoint& address : doors) {
-    doors_.push_back(std::make_shared<Door>(io, address, awaited, told));
-    doors_.back()->Ask();
+KnownServersWatch::KnownServersWatch(asio::io_context& io, const std::vector<net::Tcp::endpoint>& endpoints,
+                                     std::size_t expected, const std::function<void()>& on_reached) {
+  for (const net::Tcp::endpoint& address : endpoints) {
+    pollers_.push_back(std::make_shared<EndpointPoller>(io, address, expected, on_reached));
+    pollers_.back()->Poll();
   }
 }
 
 KnownServersWatch::~KnownServersWatch() {
   try {
-    for (const auto& door : doors_) door->Close();
-  } catch (const std::exception& error) {  // a timer that cannot be cancelled: its handler asks no more
-    std::fprintf(stderr, "doors of sidecars: %s\n", error.what());
+    for (const auto& poller : pollers_) poller->Close();
+  } catch (const std::exception& error) {  // the timer could not be cancelled; its handler no longer polls
+    std::fprintf(stderr, "management endpoints of sidecars: %s\n", error.what());
   }
 }
 
--- a/scale/known_servers.hpp
+++ b/scale/known_servers.hpp
@@ -1,4 +1,4 @@
-// How many servers a sidecar's operators are told that it knows: what it acts on, seen from outside.
+// Observes from outside how many servers a sidecar uses, by the number on its management endpoint.
 #ifndef MERLINRUN_SCALE_KNOWN_SERVERS_HPP_
 #define MERLINRUN_SCALE_KNOWN_SERVERS_HPP_
 
@@ -13,20 +13,20 @@
 
 namespace merlinrun::scale {
 
-// Asks each door over and over, with a pause between, until it tells that number.
+// Polls each management endpoint, with a pause between, until it reports the expected number of servers.
 class KnownServersWatch {
  public:
-  // `told` is called once for each door. The loop outlives the watch.
-  KnownServersWatch(net::asio::io_context& io, const std::vector<net::Tcp::endpoint>& doors,
-                    std::size_t awaited, const std::function<void()>& told);
-  // Asks no more.
+  // Calls `on_reached` once for each endpoint. The loop must outlive this object.
+  KnownServersWatch(net::asio::io_context& io, const std::vector<net::Tcp::endpoint>& endpoints,
+                    std::size_t expected, const std::function<void()>& on_reached);
+  // Stops polling.
   ~KnownServersWatch();
   KnownServersWatch(const KnownServersWatch&) = delete;
   KnownServersWatch& operator=(const KnownServersWatch&) = delete;
 
  private:
-  class Door;
-  std::vector<std::shared_ptr<Door>> doors_;
+  class EndpointPoller;
+  std::vector<std::shared_ptr<EndpointPoller>> pollers_;
 };
 
 }  // namespace merlinrun::scale
--- a/scale/list_size.cpp
+++ b/scale/list_size.cpp
@@ -1,4 +1,5 @@
-// What a sidecar takes by the number of servers that it is told of: its memory, its start, and its rest.
+// Step "list_size": the cost of a sidecar by the number of listed servers: its memory, its start, and when
+// idle.
 #include <algorithm>
 #include <cstdint>
 #include <vector>
@@ -17,35 +18,36 @@
         idle_s_(parameters.Number("idle_s", 6, 0.1, 600)) {}
 
   Needs Requires() const override {
-    return DiscoveryRig::Requires({*std::max_element(listed_.begin(), listed_.end())}, sidecars_ + 1);
+    return DiscoveryTestBed::Requirements({*std::max_element(listed_.begin(), listed_.end())}, sidecars_ + 1);
   }
 
   void Run(Context& context) override {
-    ReadEach(context, listed_, [&](std::int64_t listed, int repeat) { Read(context, listed, repeat); });
+    MeasureEach(context, listed_, [&](std::int64_t listed, int repeat) { Measure(context, listed, repeat); });
   }
 
  private:
-  void Read(Context& context, std::int64_t listed, int repeat) const {
-    DiscoveryRig rig(context, {listed});
-    // The first one pays for what the process takes once, such as the room to read a list in.
-    rig.Add(1);
-    rig.AwaitWatches();
-    const std::int64_t memory = rig.FleetFigure("rss_bytes", /*trim=*/true);
-    const std::int64_t cpu = rig.FleetFigure("cpu_us");
-    const auto before = rig.Counts();
-    rig.Add(sidecars_);
-    rig.AwaitWatches();
-    const std::int64_t started_cpu = rig.FleetFigure("cpu_us");
-    const auto started = rig.Counts();
-    const std::int64_t started_memory = rig.FleetFigure("rss_bytes", /*trim=*/true);
-    const std::int64_t rest_cpu = rig.FleetFigure("cpu_us");
-    const auto rest = rig.Counts();
-    rig.Pass(idle_s_);
-    const std::int64_t end_cpu = rig.FleetFigure("cpu_us");
-    const auto end = rig.Counts();
+  void Measure(Context& context, std::int64_t listed, int repeat) const {
+    DiscoveryTestBed test_bed(context, {listed});
+    // A first sidecar is started before the baseline, so that one-time costs of the process, such as the
+    // buffers for reading a list, are not counted.
+    test_bed.AddSidecars(1);
+    test_bed.AwaitWatches();
+    const std::int64_t memory = test_bed.SumOverFleets("rss_bytes", /*trim=*/true);
+    const std::int64_t cpu = test_bed.SumOverFleets("cpu_us");
+    const auto before = test_bed.DiscoveryCounts();
+    test_bed.AddSidecars(sidecars_);
+    test_bed.AwaitWatches();
+    const std::int64_t started_cpu = test_bed.SumOverFleets("cpu_us");
+    const auto started = test_bed.DiscoveryCounts();
+    const std::int64_t started_memory = test_bed.SumOverFleets("rss_bytes", /*trim=*/true);
+    const std::int64_t idle_start_cpu = test_bed.SumOverFleets("cpu_us");
+    const auto idle_start = test_bed.DiscoveryCounts();
+    test_bed.Wait(idle_s_);
+    const std::int64_t end_cpu = test_bed.SumOverFleets("cpu_us");
+    const auto end = test_bed.DiscoveryCounts();
 
     const auto each = static_cast<double>(sidecars_);
-    const double all_s = static_cast<double>(rig.sidecars()) * 1e-6 * Gain(rest, end, "at_us");
+    const double all_s = static_cast<double>(test_bed.sidecars()) * 1e-6 * Increase(idle_start, end, "at_us");
     Sample sample;
     sample.measure = "list_size";
     sample.repeat = repeat;
@@ -53,10 +55,10 @@
     sample.figures = {
         {"memory_bytes_per_sidecar", static_cast<double>(started_memory - memory) / each},
         {"start_cpu_us", static_cast<double>(started_cpu - cpu) / each},
-        {"start_bytes_in", Gain(before, started, "bytes_out") / each},
-        {"start_bytes_out", Gain(before, started, "bytes_in") / each},
-        {"idle_cpu_us_per_s", static_cast<double>(end_cpu - rest_cpu) / all_s},
-        {"beat_bytes_in_per_s", Gain(rest, end, "bytes_out") / all_s},
+        {"start_bytes_in", Increase(before, started, "bytes_out") / each},
+        {"start_bytes_out", Increase(before, started, "bytes_in") / each},
+        {"idle_cpu_us_per_s", static_cast<double>(end_cpu - idle_start_cpu) / all_s},
+        {"beat_bytes_in_per_s", Increase(idle_start, end, "bytes_out") / all_s},
     };
     context.recorder.Add(std::move(sample));
   }
--- a/scale/play.hpp
+++ b/scale/play.hpp
@@ -1,4 +1,5 @@
-// A play: something befalls a fleet and its discovery, and what it takes until all act on what is told then.
+// Steps that run an experiment: an event, such as the loss of a zone, happens to a fleet and its discovery,
+// and the time and cost until all changes have taken effect at all sidecars are measured.
 #ifndef MERLINRUN_SCALE_PLAY_HPP_
 #define MERLINRUN_SCALE_PLAY_HPP_
 
@@ -13,29 +14,31 @@
 
 namespace merlinrun::scale {
 
-// Of the changes that discovery is driven to: the same ones for each size, without relays and behind them.
-inline constexpr std::uint64_t kDriveSeed = 1;
+// The seed of random changes. It is the same for each size, with and without relays, so that all get the same
+// changes.
+inline constexpr std::uint64_t kChangeSeed = 1;
 
-// What befalls a fleet.
-class Plot {
+// An event that happens to a fleet or its discovery.
+class Experiment {
  public:
-  virtual ~Plot() = default;
-  // Plays it to its end, but for the last changes' coming into force. Figures of its own go into `figures`.
-  virtual void Play(DiscoveryRig& rig, std::map<std::string, double>& figures) = 0;
-  // Once all is in force.
-  virtual void Conclude(DiscoveryRig&, std::map<std::string, double>&) {}
+  virtual ~Experiment() = default;
+  // Runs the experiment, but does not wait until the last changes have taken effect. Adds its own figures.
+  virtual void Run(DiscoveryTestBed& test_bed, std::map<std::string, double>& figures) = 0;
+  // Adds figures that are known once all changes have taken effect.
+  virtual void Evaluate(DiscoveryTestBed&, std::map<std::string, double>&) {}
 };
 
-using PlotFactory = std::unique_ptr<Plot> (*)(Parameters& parameters);
+using ExperimentFactory = std::unique_ptr<Experiment> (*)(Parameters& parameters);
 
-// A step that plays it with fleets of each of the sizes "sidecars", on discovery itself and behind so many
-// relays as "relays" has. With relays, each region has its own, and there are as many regions.
-std::unique_ptr<Step> MakePlay(const char* name, PlotFactory plot, Parameters& parameters);
+// Creates a step that runs the experiment with each fleet size of "sidecars" and each number of relays of
+// "relays" (0 = the sidecars watch discovery itself). With relays there is one region for each relay.
+std::unique_ptr<Step> MakeExperimentStep(const char* name, ExperimentFactory experiment,
+                                         Parameters& parameters);
 
-// The keys that all plays share; a plot may ask for the same ones.
-std::int64_t ListedOf(Parameters& parameters);
-std::int64_t RegionsOf(Parameters& parameters);
-std::vector<std::int64_t> RelaysOf(Parameters& parameters);
+// Read the parameters that all experiments share. An experiment may read them again.
+std::int64_t ReadListed(Parameters& parameters);
+std::int64_t ReadRegions(Parameters& parameters);
+std::vector<std::int64_t> ReadRelays(Parameters& parameters);
 
 }  // namespace merlinrun::scale
 
--- a/scale/play_region_restart.cpp
+++ b/scale/play_region_restart.cpp
@@ -1,26 +1,26 @@
-// All sidecars of a region are restarted at once and come back from nothing, while a server changes.
+// All sidecars of a region are restarted at once without a list, while a server changes.
 #include "discovery_steps.hpp"
 #include "play.hpp"
 
 namespace merlinrun::scale {
 namespace {
 
-class RegionRestart : public Plot {
+class RegionRestart : public Experiment {
  public:
   explicit RegionRestart(Parameters& parameters) : down_s_(parameters.Number("down_s", 1, 0, 600)) {}
 
-  void Play(DiscoveryRig& rig, std::map<std::string, double>& figures) override {
-    const std::int64_t all = rig.sidecars();
-    rig.End(0);
-    const std::int64_t ended = all - rig.sidecars();
-    rig.Pass(down_s_);
-    rig.Add(ended, 0);
-    rig.Change({{"first", 0}, {"lifecycle", "draining"}});
+  void Run(DiscoveryTestBed& test_bed, std::map<std::string, double>& figures) override {
+    const std::int64_t all = test_bed.sidecars();
+    test_bed.RemoveSidecars(0);
+    const std::int64_t ended = all - test_bed.sidecars();
+    test_bed.Wait(down_s_);
+    test_bed.AddSidecars(ended, 0);
+    test_bed.ChangeServers({{"first", 0}, {"lifecycle", "draining"}});
     figures["restarted"] = static_cast<double>(ended);
   }
 
-  void Conclude(DiscoveryRig& rig, std::map<std::string, double>& figures) override {
-    AddSpread("first_list", rig.Joined(0), figures);
+  void Evaluate(DiscoveryTestBed& test_bed, std::map<std::string, double>& figures) override {
+    AddDelays("first_list", test_bed.FirstListDelays(0), figures);
   }
 
  private:
@@ -30,9 +30,10 @@
 }  // namespace
 
 std::unique_ptr<Step> MakePlayRegionRestart(Parameters& parameters) {
-  return MakePlay(
+  return MakeExperimentStep(
       "play_region_restart",
-      [](Parameters& p) -> std::unique_ptr<Plot> { return std::make_unique<RegionRestart>(p); }, parameters);
+      [](Parameters& p) -> std::unique_ptr<Experiment> { return std::make_unique<RegionRestart>(p); },
+      parameters);
 }
 
 }  // namespace merlinrun::scale
--- a/scale/play_reload.cpp
+++ b/scale/play_reload.cpp
@@ -1,4 +1,4 @@
-// All sidecars' configuration is changed to another address of discovery, while servers change.
+// The configuration of all sidecars is changed to another discovery address, while servers change.
 #include <algorithm>
 #include <memory>
 #include <string>
@@ -11,45 +11,45 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr std::int64_t kFewestRegions = 2;  // those of one move to the next
+constexpr std::int64_t kMinRegions = 2;  // the sidecars of each move to the next
 
-class Reload : public Plot {
+class Reload : public Experiment {
  public:
-  void Play(DiscoveryRig& rig, std::map<std::string, double>&) override {
-    const auto before = rig.Counts().at("generation").get<std::int64_t>();
-    std::vector<std::string> addresses = rig.addresses();
+  void Run(DiscoveryTestBed& test_bed, std::map<std::string, double>&) override {
+    const auto before = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
+    std::vector<std::string> addresses = test_bed.addresses();
     std::rotate(addresses.begin(), addresses.begin() + 1, addresses.end());
-    rig.Serve(std::move(addresses));
-    rig.Reload();
-    // It is heard of with the whole list, or on the watch that follows.
-    const std::int64_t moving = rig.Change({{"first", 0}, {"lifecycle", "draining"}});
-    rig.AwaitWatches();
-    rig.Change({{"first", 1}, {"lifecycle", "draining"}});
-    while_moving_ = rig.ChangesSince(before);
+    test_bed.SetAddresses(std::move(addresses));
+    test_bed.ReloadSidecars();
+    // Sidecars receive this change with the full list or on the watch that follows.
+    const std::int64_t moving = test_bed.ChangeServers({{"first", 0}, {"lifecycle", "draining"}});
+    test_bed.AwaitWatches();
+    test_bed.ChangeServers({{"first", 1}, {"lifecycle", "draining"}});
+    while_moving_ = test_bed.ChangesSince(before);
     std::erase_if(while_moving_, [moving](const auto& change) { return change.first > moving; });
-    at_new_address_ = rig.ChangesSince(moving);
+    at_new_address_ = test_bed.ChangesSince(moving);
   }
 
-  void Conclude(DiscoveryRig& rig, std::map<std::string, double>& figures) override {
-    AddSpread("first_list", rig.Joined(), figures);
-    const Spread watching = rig.Watching();
-    AddSpread("watching", watching, figures);
+  void Evaluate(DiscoveryTestBed& test_bed, std::map<std::string, double>& figures) override {
+    AddDelays("first_list", test_bed.FirstListDelays(), figures);
+    const DelaySummary watching = test_bed.WatchDelays();
+    AddDelays("watching", watching, figures);
     figures["watching_count"] = static_cast<double>(watching.count);
-    AddSpread("in_force_while_moving", rig.Force(while_moving_, /*keep=*/true), figures);
-    AddSpread("in_force_at_new_address", rig.Force(at_new_address_, /*keep=*/true), figures);
+    AddDelays("in_force_while_moving", test_bed.EffectDelays(while_moving_, /*keep=*/true), figures);
+    AddDelays("in_force_at_new_address", test_bed.EffectDelays(at_new_address_, /*keep=*/true), figures);
   }
 
  private:
-  DiscoveryRig::Changes while_moving_;
-  DiscoveryRig::Changes at_new_address_;
+  DiscoveryTestBed::Changes while_moving_;
+  DiscoveryTestBed::Changes at_new_address_;
 };
 
-std::unique_ptr<Plot> MakeReload(Parameters& parameters) {
-  if (RegionsOf(parameters) < kFewestRegions)
-    parameters.Reject("regions", "must be 2 at least: sidecars move from one to another");
-  for (const std::int64_t relays : RelaysOf(parameters)) {
-    if (relays > 0 && relays < kFewestRegions)
-      parameters.Reject("relays", "must be 0, or 2 at least: sidecars move from one to another");
+std::unique_ptr<Experiment> CreateReload(Parameters& parameters) {
+  if (ReadRegions(parameters) < kMinRegions)
+    parameters.Reject("regions", "must be at least 2, as sidecars move from one to another");
+  for (const std::int64_t relays : ReadRelays(parameters)) {
+    if (relays > 0 && relays < kMinRegions)
+      parameters.Reject("relays", "must be 0 or at least 2, as sidecars move from one to another");
   }
   return std::make_unique<Reload>();
 }
@@ -57,7 +57,7 @@
 }  // namespace
 
 std::unique_ptr<Step> MakePlayReload(Parameters& parameters) {
-  return MakePlay("play_reload", MakeReload, parameters);
+  return MakeExperimentStep("play_reload", CreateReload, parameters);
 }
 
 }  // namespace merlinrun::scale
--- a/scale/relay_tier.cpp
+++ b/scale/relay_tier.cpp
@@ -15,14 +15,14 @@
 
 using nlohmann::json;
 
-constexpr auto kUpAtMost = std::chrono::seconds(30);
-constexpr auto kAnswerAtMost = std::chrono::seconds(10);
-constexpr auto kPoll = std::chrono::milliseconds(50);
+constexpr auto kStartTimeout = std::chrono::seconds(30);
+constexpr auto kResponseTimeout = std::chrono::seconds(10);
+constexpr auto kPollInterval = std::chrono::milliseconds(50);
 
-// One that was free a moment ago.
+// Returns an address whose port was free a moment ago.
 std::string FreeAddress(boost::asio::io_context& io) {
-  const net::Tcp::acceptor taken(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
-  return "127.0.0.1:" + std::to_string(taken.local_endpoint().port());
+  const net::Tcp::acceptor acceptor(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
+  return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
 }  // namespace
@@ -30,21 +30,22 @@
 RelayTier::RelayTier(const Context& context, const std::vector<std::string>& upstream,
                      std::int64_t batch_ms) {
   boost::asio::io_context io;
-  for (const std::string& above : upstream) {
+  for (const std::string& upstream_address : upstream) {
     addresses_.push_back(FreeAddress(io));
-    relays_.push_back(std::make_unique<Child>(Child::Options{
-        context.relay,
-        {"--listen", addresses_.back(), "--upstream", above, "--batch-ms", std::to_string(batch_ms)},
-        {},
-        context.scratch / "relay.log"}));
+    relays_.push_back(
+        std::make_unique<Child>(Child::Options{context.relay,
+                                               {"--listen", addresses_.back(), "--upstream", upstream_address,
+                                                "--batch-ms", std::to_string(batch_ms)},
+                                               {},
+                                               context.scratch / "relay.log"}));
   }
-  const auto end = std::chrono::steady_clock::now() + kUpAtMost;
+  const auto end = std::chrono::steady_clock::now() + kStartTimeout;
   for (const std::string& address : addresses_) {
     for (json status = Status(address); status.is_null() || !status.at("known").get<bool>();
          status = Status(address)) {
       if (std::chrono::steady_clock::now() > end)
-        throw std::runtime_error("a relay does not serve: see relay.log");
-      std::this_thread::sleep_for(kPoll);
+        throw std::runtime_error("a relay serves no list: see relay.log");
+      std::this_thread::sleep_for(kPollInterval);
     }
   }
 }
@@ -53,7 +54,7 @@
   std::map<std::string, double> sums;
   for (const std::string& address : addresses_) {
     const json status = Status(address);
-    if (status.is_null()) throw std::runtime_error("a relay does not answer: see relay.log");
+    if (status.is_null()) throw std::runtime_error("a relay does not respond: see relay.log");
     for (const auto& [name, value] : status.items())
       if (value.is_number()) sums[name] += value.get<double>();
   }
@@ -74,18 +75,18 @@
   const http::request<http::empty_body> request(http::verb::get, "/status", 11);
   http::response<http::string_body> response;
   boost::beast::flat_buffer buffer;
-  bool answered = false;
-  stream.expires_after(kAnswerAtMost);
-  stream.async_connect(*net::ParseAddress(address), [&](net::ErrorCode unconnected) {
-    if (unconnected) return;
-    http::async_write(stream, request, [&](net::ErrorCode unwritten, std::size_t) {
-      if (unwritten) return;
+  bool received = false;
+  stream.expires_after(kResponseTimeout);
+  stream.async_connect(*net::ParseAddress(address), [&](net::ErrorCode connect_error) {
+    if (connect_error) return;
+    http::async_write(stream, request, [&](net::ErrorCode write_error, std::size_t) {
+      if (write_error) return;
       http::async_read(stream, buffer, response,
-                       [&](net::ErrorCode unread, std::size_t) { answered = !unread; });
+                       [&](net::ErrorCode read_error, std::size_t) { received = !read_error; });
     });
   });
   io.run();
-  if (!answered) return nullptr;
+  if (!received) return nullptr;
   return json::parse(response.body(), nullptr, /*allow_exceptions=*/false);
 }
 
--- a/scale/relayed_rig.cpp
+++ b/scale/relayed_rig.cpp
@@ -5,37 +5,37 @@
 namespace merlinrun::scale {
 namespace {
 
-// Upper bounds of a relay's own memory and of what a watch takes of it, from trials of the fan_out step.
-constexpr double kRelayMb = 64;
-constexpr double kWatchMb = 0.01;
+// Upper bounds of the memory of a relay without watches and of each watch, from runs of the fan_out step.
+constexpr double kMbPerRelay = 64;
+constexpr double kMbPerWatch = 0.01;
 
-DiscoveryRig::Options WithRelays(DiscoveryRig::Options options, std::int64_t relays) {
+DiscoveryTestBed::Options WithRelays(DiscoveryTestBed::Options options, std::int64_t relays) {
   if (relays > 0) options.regions = relays;
   return options;
 }
 
 }  // namespace
 
-RelayedRig::RelayedRig(Context& context, const DiscoveryRig::Options& options, std::int64_t relays,
-                       std::int64_t batch_ms)
-    : rig(context, WithRelays(options, relays)) {
+RelayedTestBed::RelayedTestBed(Context& context, const DiscoveryTestBed::Options& options,
+                               std::int64_t relays, std::int64_t batch_ms)
+    : test_bed(context, WithRelays(options, relays)) {
   if (relays == 0) return;
-  tier.emplace(context, rig.addresses(), batch_ms);
-  rig.Serve(tier->addresses());
+  relay_tier.emplace(context, test_bed.addresses(), batch_ms);
+  test_bed.SetAddresses(relay_tier->addresses());
 }
 
-Needs RelayedRig::Requires(DiscoveryRig::Options options, const std::vector<std::int64_t>& relays,
-                           const std::vector<std::int64_t>& sidecars) {
-  const std::int64_t most_relays = *std::max_element(relays.begin(), relays.end());
-  const std::int64_t most_sidecars = *std::max_element(sidecars.begin(), sidecars.end());
-  options.regions = std::max(options.regions, most_relays);
-  Needs needs = DiscoveryRig::Requires(options, most_sidecars);
-  if (most_relays == 0) return needs;
-  needs.ports += static_cast<std::size_t>(most_relays);
-  needs.processes += static_cast<std::size_t>(most_relays);
-  needs.memory_mb +=
-      kRelayMb * static_cast<double>(most_relays) + kWatchMb * static_cast<double>(most_sidecars);
-  return needs;
+Needs RelayedTestBed::Requirements(DiscoveryTestBed::Options options, const std::vector<std::int64_t>& relays,
+                                   const std::vector<std::int64_t>& sidecars) {
+  const std::int64_t max_relays = *std::max_element(relays.begin(), relays.end());
+  const std::int64_t max_sidecars = *std::max_element(sidecars.begin(), sidecars.end());
+  options.regions = std::max(options.regions, max_relays);
+  Needs requirements = DiscoveryTestBed::Requirements(options, max_sidecars);
+  if (max_relays == 0) return requirements;
+  requirements.ports += static_cast<std::size_t>(max_relays);
+  requirements.processes += static_cast<std::size_t>(max_relays);
+  requirements.memory_mb +=
+      kMbPerRelay * static_cast<double>(max_relays) + kMbPerWatch * static_cast<double>(max_sidecars);
+  return requirements;
 }
 
 }  // namespace merlinrun::scale
--- a/scale/relayed_rig.hpp
+++ b/scale/relayed_rig.hpp
@@ -1,4 +1,5 @@
-// A rig with or without relays between discovery and the fleets: the same fleet before and after.
+// A test bed with or without relays between discovery and the fleets, to compare the same fleet in both
+// setups.
 #ifndef MERLINRUN_SCALE_RELAYED_RIG_HPP_
 #define MERLINRUN_SCALE_RELAYED_RIG_HPP_
 
@@ -12,18 +13,18 @@
 
 namespace merlinrun::scale {
 
-struct RelayedRig {
-  // With relays there are as many regions, and each has its own: `options.regions` holds without them alone.
-  // Throws std::runtime_error if a process does not come up.
-  RelayedRig(Context& context, const DiscoveryRig::Options& options, std::int64_t relays,
-             std::int64_t batch_ms);
+struct RelayedTestBed {
+  // With relays there is one region for each relay, and `options.regions` is ignored. Throws
+  // std::runtime_error if a process cannot be started.
+  RelayedTestBed(Context& context, const DiscoveryTestBed::Options& options, std::int64_t relays,
+                 std::int64_t batch_ms);
 
-  // At the largest of each. Neither is empty.
-  static Needs Requires(DiscoveryRig::Options options, const std::vector<std::int64_t>& relays,
-                        const std::vector<std::int64_t>& sidecars);
+  // The requirements at the maximum of `relays` and of `sidecars`; neither may be empty.
+  static Needs Requirements(DiscoveryTestBed::Options options, const std::vector<std::int64_t>& relays,
+                            const std::vector<std::int64_t>& sidecars);
 
-  DiscoveryRig rig;
-  std::optional<RelayTier> tier;  // none: the sidecars watch discovery itself
+  DiscoveryTestBed test_bed;
+  std::optional<RelayTier> relay_tier;  // empty: the sidecars watch discovery itself
 };
 
 }  // namespace merlinrun::scale
--- a/scale/reload.cpp
+++ b/scale/reload.cpp
@@ -18,34 +18,35 @@
 namespace merlinrun::scale {
 namespace {
 
-constexpr auto kLongest = std::chrono::seconds(30);  // until all follow, and until the change is in force
-constexpr std::size_t kEnoughForP99 = 100;
+// For all sidecars to follow the new address, and for the change to take effect.
+constexpr auto kTimeout = std::chrono::seconds(30);
+constexpr std::size_t kMinCountForP99 = 100;
 
 std::chrono::nanoseconds Nanoseconds(std::chrono::duration<double> time) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(time);
 }
 
-// Times from one start, one for each sidecar.
-class Times {
+// Delays from a common start, one for each sidecar.
+class DelayRecorder {
  public:
   void Begin() { start_ = Clock::now(); }
-  void Add() { times_.push_back(Clock::now() - start_); }
-  std::size_t count() const { return times_.size(); }
+  void Add() { delays_.push_back(Clock::now() - start_); }
+  std::size_t count() const { return delays_.size(); }
   Clock::duration since_start() const { return Clock::now() - start_; }
   void Record(const std::string& name, std::map<std::string, double>& figures) const {
-    figures[name + "_p50_ms"] = Ms(0.5);
-    if (count() >= kEnoughForP99) figures[name + "_p99_ms"] = Ms(0.99);
-    figures[name + "_last_ms"] = Ms(1);
+    figures[name + "_p50_ms"] = QuantileMs(0.5);
+    if (count() >= kMinCountForP99) figures[name + "_p99_ms"] = QuantileMs(0.99);
+    figures[name + "_last_ms"] = QuantileMs(1);
   }
 
  private:
-  double Ms(double share) const {  // they were added in their order
-    const auto rank = static_cast<std::size_t>(std::ceil(share * static_cast<double>(times_.size())));
-    return std::chrono::duration<double, std::milli>(times_.at(rank - 1)).count();
+  double QuantileMs(double share) const {  // the delays are sorted, as they are added when they occur
+    const auto rank = static_cast<std::size_t>(std::ceil(share * static_cast<double>(delays_.size())));
+    return std::chrono::duration<double, std::milli>(delays_.at(rank - 1)).count();
   }
 
   Clock::time_point start_;
-  std::vector<Clock::duration> times_;
+  std::vector<Clock::duration> delays_;
 };
 
 class Reload : public Step {
@@ -58,18 +59,20 @@
         server_processes_(static_cast<int>(parameters.Integer("server_processes", 4, 1, 16))) {}
 
   Needs Requires() const override {
-    const auto most = static_cast<std::size_t>(*std::max_element(counts_.begin(), counts_.end()));
+    const auto max_sidecars = static_cast<std::size_t>(*std::max_element(counts_.begin(), counts_.end()));
     const auto servers = static_cast<std::size_t>(servers_);
     const auto processes = static_cast<std::size_t>(server_processes_);
     const std::size_t open = CallPlan{}.Open(rate_);
-    Needs needs;
-    // Of each sidecar this process holds what RealSidecar does, both watches, the door and the caller; the
-    // servers the other ends.
-    needs.descriptors = 128 + most * (12 + servers + 2 * open);
-    needs.ports = servers + 3 + 2 * most + processes;
-    needs.processes = most + processes;
-    needs.memory_mb = 128 + 16 * static_cast<double>(needs.processes);  // sidecars that know few servers
-    return needs;
+    Needs requirements;
+    // Descriptors of this process for each sidecar: those of RealSidecar, both watches, the connection to the
+    // management endpoint, and the caller's connections. The server processes have the other ends of the
+    // sidecars' connections to servers.
+    requirements.descriptors = 128 + max_sidecars * (12 + servers + 2 * open);
+    requirements.ports = servers + 3 + 2 * max_sidecars + processes;
+    requirements.processes = max_sidecars + processes;
+    // The sidecars know only few servers.
+    requirements.memory_mb = 128 + 16 * static_cast<double>(requirements.processes);
+    return requirements;
   }
 
   void Run(Context& context) override {
@@ -79,8 +82,8 @@
   }
 
  private:
-  // Runs for `load_`, and returns the processor time used in it.
-  double Use(net::asio::io_context& io, const RealSidecars& sidecars) const {
+  // Runs the loop for `load_` and returns the CPU time that the sidecars used in it.
+  double MeasureCpu(net::asio::io_context& io, const RealSidecars& sidecars) const {
     const std::int64_t before = sidecars.cpu_us();
     RunFor(io, Nanoseconds(load_));
     return static_cast<double>(sidecars.cpu_us() - before);
@@ -91,7 +94,8 @@
     RemoteServers servers(server_processes_, context.scratch);
     ServerSettings server;
     server.seed = seed;
-    // Both list the same servers: no call has to change its way. The last one comes with the change.
+    // Both fake discoveries list the same servers, so that the reload itself moves no calls. The last server
+    // is added by the change.
     std::vector<net::Tcp::endpoint> addresses = servers.Open(Alike(server, servers_ + 1));
     const Entry change = Listed(addresses).back();
     addresses.pop_back();
@@ -103,9 +107,9 @@
     const auto all = static_cast<std::size_t>(count);
 
     std::vector<std::unique_ptr<Caller>> callers = StartCallers(io, sidecars, seed);
-    RunFor(io, Nanoseconds(load_));  // connections come up first
-    const double usual = Use(io, sidecars);
-    Times watching;
+    RunFor(io, Nanoseconds(load_));  // connections are established first
+    const double baseline_cpu = MeasureCpu(io, sidecars);
+    DelayRecorder watching;
     const std::int64_t cpu_before = sidecars.cpu_us();
     watching.Begin();
     sidecars.Reload(after.discovery());
@@ -113,19 +117,20 @@
       while (watching.count() < after.counts().watches) watching.Add();
       return watching.count() >= all;
     });
-    RunFor(io, Nanoseconds(load_));  // what belongs to the reload may come after the watch
+    RunFor(io, Nanoseconds(load_));  // work of the reload may follow the opening of the watch
     const std::chrono::duration<double> span = watching.since_start();
-    const double used = static_cast<double>(sidecars.cpu_us() - cpu_before);
+    const double reload_cpu = static_cast<double>(sidecars.cpu_us() - cpu_before);
 
-    Times in_force;
-    in_force.Begin();
+    DelayRecorder took_effect;
+    took_effect.Begin();
     after.Change({change});
     {
-      const KnownServersWatch watch(io, Doors(sidecars), addresses.size() + 1, [&] { in_force.Add(); });
-      Await(io, context, "act on the change", [&] { return in_force.count() >= all; });
+      const KnownServersWatch watch(io, ManagementEndpoints(sidecars), addresses.size() + 1,
+                                    [&] { took_effect.Add(); });
+      Await(io, context, "apply the change", [&] { return took_effect.count() >= all; });
     }
     for (const auto& caller : callers) caller->Stop();
-    Await(io, context, "end their calls", [&] {
+    Await(io, context, "finish their calls", [&] {
       return std::all_of(callers.begin(), callers.end(), [](const auto& caller) { return caller->done(); });
     });
     if (context.should_stop()) return;
@@ -135,9 +140,9 @@
     const auto each = static_cast<double>(count);
     Sample sample{"reload", {{"sidecars", each}}, {}, repeat};
     watching.Record("watching", sample.figures);
-    in_force.Record("in_force", sample.figures);
+    took_effect.Record("in_force", sample.figures);
     const std::uint64_t lost = calls.counts.sent - calls.counts.served;
-    sample.figures["cpu_us_per_reload"] = (used - usual * (span / load_)) / each;
+    sample.figures["cpu_us_per_reload"] = (reload_cpu - baseline_cpu * (span / load_)) / each;
     sample.figures["calls"] = static_cast<double>(calls.counts.sent);
     sample.figures["unserved_calls"] = static_cast<double>(lost);
     sample.figures["watches"] = static_cast<double>(after.counts().watches);
@@ -158,28 +163,28 @@
     for (const auto& sidecar : sidecars.all()) {
       callers.push_back(
           std::make_unique<Caller>(io, std::vector<net::Tcp::endpoint>{sidecar->address()}, settings));
-      callers.back()->Start(std::chrono::hours(1));  // until they are stopped
+      callers.back()->Start(std::chrono::hours(1));  // until stopped
       ++settings.seed;
     }
     return callers;
   }
 
-  static std::vector<net::Tcp::endpoint> Doors(const RealSidecars& sidecars) {
-    std::vector<net::Tcp::endpoint> doors;
-    for (const auto& sidecar : sidecars.all()) doors.push_back(sidecar->management());
-    return doors;
+  static std::vector<net::Tcp::endpoint> ManagementEndpoints(const RealSidecars& sidecars) {
+    std::vector<net::Tcp::endpoint> endpoints;
+    for (const auto& sidecar : sidecars.all()) endpoints.push_back(sidecar->management());
+    return endpoints;
   }
 
   static void Await(net::asio::io_context& io, const Context& context, const std::string& what,
                     const std::function<bool()>& done) {
     if (!RunUntil(
-            io, [&] { return context.should_stop() || done(); }, kLongest))
-      throw std::runtime_error("not all sidecars " + what + " in time");
+            io, [&] { return context.should_stop() || done(); }, kTimeout))
+      throw std::runtime_error("not all sidecars could " + what + " in time");
   }
 
   const std::vector<std::int64_t> counts_;
   const int servers_;
-  const double rate_;  // of each
+  const double rate_;  // per sidecar
   const std::chrono::duration<double> load_;
   const int server_processes_;
 };
--- a/scale/reload.hpp
+++ b/scale/reload.hpp
@@ -1,5 +1,5 @@
-// Step "reload": how long real sidecars take to follow a new configuration, which names another address for
-// discovery, and what that costs them, by how many they are.
+// Step "reload": how long real sidecars take to follow a new configuration with another discovery address,
+// and what that costs them, by the number of sidecars.
 #ifndef MERLINRUN_SCALE_RELOAD_HPP_
 #define MERLINRUN_SCALE_RELOAD_HPP_
 
--- a/scale/watches.cpp
+++ b/scale/watches.cpp
@@ -1,4 +1,5 @@
-// What watches take at discovery by their number, and how soon changes are in force at all of them.
+// Step "watches": the cost of watches for discovery by their number, and how soon changes take effect at all
+// sidecars.
 #include <algorithm>
 #include <cstdint>
 #include <vector>
@@ -21,49 +22,52 @@
         idle_s_(parameters.Number("idle_s", 6, 0.1, 600)) {}
 
   Needs Requires() const override {
-    return DiscoveryRig::Requires({listed_, regions_, fleets_},
-                                  *std::max_element(watches_.begin(), watches_.end()));
+    return DiscoveryTestBed::Requirements({listed_, regions_, fleets_},
+                                          *std::max_element(watches_.begin(), watches_.end()));
   }
 
   void Run(Context& context) override {
-    ReadEach(context, watches_, [&](std::int64_t watches, int repeat) { Read(context, watches, repeat); });
+    MeasureEach(context, watches_,
+                [&](std::int64_t watches, int repeat) { Measure(context, watches, repeat); });
   }
 
  private:
-  void Read(Context& context, std::int64_t watches, int repeat) const {
-    DiscoveryRig rig(context, {listed_, regions_, fleets_});
-    const auto empty = rig.Counts(/*trim=*/true);
-    rig.Add(watches);
-    const auto first = empty.at("generation").get<std::int64_t>();
-    rig.AwaitWatches();
-    const auto open = rig.Counts(/*trim=*/true);
-    const auto rest = rig.Counts();
-    rig.Pass(idle_s_);
-    const auto before = rig.Counts();
-    const double beat_cpu_us_per_s = Gain(rest, before, "cpu_us") / (1e-6 * Gain(rest, before, "at_us"));
+  void Measure(Context& context, std::int64_t watches, int repeat) const {
+    DiscoveryTestBed test_bed(context, {listed_, regions_, fleets_});
+    const auto without_watches = test_bed.DiscoveryCounts(/*trim=*/true);
+    test_bed.AddSidecars(watches);
+    const auto first = without_watches.at("generation").get<std::int64_t>();
+    test_bed.AwaitWatches();
+    const auto with_watches = test_bed.DiscoveryCounts(/*trim=*/true);
+    const auto idle_start = test_bed.DiscoveryCounts();
+    test_bed.Wait(idle_s_);
+    const auto before = test_bed.DiscoveryCounts();
+    const double heartbeat_cpu_us_per_s =
+        Increase(idle_start, before, "cpu_us") / (1e-6 * Increase(idle_start, before, "at_us"));
     std::int64_t generation = 0;
     for (std::int64_t i = 0; i < changes_; ++i) {
       const char* const lifecycle = i / listed_ % 2 == 0 ? "draining" : "up";
-      generation = rig.Change({{"first", i % listed_}, {"lifecycle", lifecycle}});
-      rig.Pass(between_s_);
+      generation = test_bed.ChangeServers({{"first", i % listed_}, {"lifecycle", lifecycle}});
+      test_bed.Wait(between_s_);
     }
-    rig.AwaitForce(generation);
-    const auto after = rig.Counts();
+    test_bed.AwaitEffect(generation);
+    const auto after = test_bed.DiscoveryCounts();
 
-    // The blank lines go on meanwhile, and are no part of a change.
-    const double beat_us = beat_cpu_us_per_s * 1e-6 * Gain(before, after, "at_us");
+    // Heartbeats continue during the changes; their CPU time is subtracted.
+    const double heartbeat_us = heartbeat_cpu_us_per_s * 1e-6 * Increase(before, after, "at_us");
     Sample sample;
     sample.measure = "watches";
     sample.repeat = repeat;
     sample.conditions = {{"watches", static_cast<double>(watches)}};
     sample.figures = {
-        {"memory_bytes_per_watch", Gain(empty, open, "rss_bytes") / static_cast<double>(watches)},
-        {"beat_cpu_us_per_s", beat_cpu_us_per_s},
+        {"memory_bytes_per_watch",
+         Increase(without_watches, with_watches, "rss_bytes") / static_cast<double>(watches)},
+        {"beat_cpu_us_per_s", heartbeat_cpu_us_per_s},
         {"discovery_cpu_us_per_change",
-         (Gain(before, after, "cpu_us") - beat_us) / static_cast<double>(changes_)},
-        {"bytes_out_per_change", Gain(before, after, "bytes_out") / static_cast<double>(changes_)},
+         (Increase(before, after, "cpu_us") - heartbeat_us) / static_cast<double>(changes_)},
+        {"bytes_out_per_change", Increase(before, after, "bytes_out") / static_cast<double>(changes_)},
     };
-    AddSpread("in_force", rig.Force(rig.ChangesSince(first)), sample.figures);
+    AddDelays("in_force", test_bed.EffectDelays(test_bed.ChangesSince(first)), sample.figures);
     context.recorder.Add(std::move(sample));
   }
 
--- a/tests/scale/discovery_rig_test.cpp
+++ b/tests/scale/discovery_rig_test.cpp
@@ -1,4 +1,5 @@
-// Discovery and fleets in processes of their own, and the steps on them.
+// Tests of the discovery test bed, with discovery and fleets in processes of their own, and of the steps that
+// use it.
 #include "scale/discovery_rig.hpp"
 
 #include <gtest/gtest.h>
@@ -18,42 +19,42 @@
 namespace merlinrun::scale {
 namespace {
 
-const std::set<std::string> kOwnKinds = {
+const std::set<std::string> kTestedKinds = {
     "change_rate",  "change_size",     "list_size",           "play_discovery_restart",
     "play_rack",    "play_region_cut", "play_region_restart", "play_reload",
     "play_rollout", "play_steady",     "play_zone",           "watches"};
 
-// Two sizes, without relays and behind two, and little of everything else.
-class Small : public Parameters {
+// Parameters with two sizes, with no relays and with two, and small values for everything else.
+class SmallParameters : public Parameters {
  public:
-  std::int64_t Integer(const std::string& key, std::int64_t standard, std::int64_t least,
-                       std::int64_t most) override {
-    asked.insert(key);
-    EXPECT_GE(standard, least) << key;
-    EXPECT_LE(standard, most) << key;
+  std::int64_t Integer(const std::string& key, std::int64_t default_value, std::int64_t min,
+                       std::int64_t max) override {
+    keys_read.insert(key);
+    EXPECT_GE(default_value, min) << key;
+    EXPECT_LE(default_value, max) << key;
     if (key == "processes" || key == "regions" || key == "batches" || key == "changes") return 2;
     if (key == "listed") return 40;
-    return std::min<std::int64_t>(standard, 4);
+    return std::min<std::int64_t>(default_value, 4);
   }
-  double Number(const std::string& key, double standard, double least, double most) override {
-    EXPECT_GE(standard, least) << key;
-    EXPECT_LE(standard, most) << key;
-    if (key == "speed") return 1000;  // for changes within the time that there is
-    return key == "seconds" || (key.ends_with("_s") && !key.ends_with("per_s")) ? 0.1 : standard;
+  double Number(const std::string& key, double default_value, double min, double max) override {
+    EXPECT_GE(default_value, min) << key;
+    EXPECT_LE(default_value, max) << key;
+    if (key == "speed") return 1000;  // so that there are changes within the short run
+    return key == "seconds" || (key.ends_with("_s") && !key.ends_with("per_s")) ? 0.1 : default_value;
   }
-  bool Flag(const std::string&, bool standard) override { return standard; }
-  std::string Word(const std::string&, const std::string& standard) override { return standard; }
-  std::vector<std::int64_t> Integers(const std::string& key, const std::vector<std::int64_t>& standard,
-                                     std::int64_t least, std::int64_t most) override {
-    EXPECT_GE(standard.front(), least) << key;
-    EXPECT_LE(standard.back(), most) << key;
+  bool Flag(const std::string&, bool default_value) override { return default_value; }
+  std::string Word(const std::string&, const std::string& default_value) override { return default_value; }
+  std::vector<std::int64_t> Integers(const std::string& key, const std::vector<std::int64_t>& default_value,
+                                     std::int64_t min, std::int64_t max) override {
+    EXPECT_GE(default_value.front(), min) << key;
+    EXPECT_LE(default_value.back(), max) << key;
     if (key == "relays") {
-      EXPECT_EQ(standard.front(), 0);  // before and after
-      EXPECT_GE(standard.size(), 2U);
-      asked.insert(key);
+      EXPECT_EQ(default_value.front(), 0);  // compares without and with relays
+      EXPECT_GE(default_value.size(), 2U);
+      keys_read.insert(key);
       return {0, 2};
     }
-    EXPECT_GE(standard.size(), 4U) << key;  // and over two decades
+    EXPECT_GE(default_value.size(), 4U) << key;  // at least four sizes, over two decades
     sizes.insert(key);
     return {40, 41};
   }
@@ -61,19 +62,19 @@
     throw ScenarioError(key + ": " + reason);
   }
 
-  std::set<std::string> asked;
+  std::set<std::string> keys_read;
   std::set<std::string> sizes;
 };
 
 class RigTest : public ::testing::Test {
  protected:
-  class Kept : public Recorder {
+  class SampleList : public Recorder {
    public:
     void Add(Sample sample) override { samples.push_back(std::move(sample)); }
     std::vector<Sample> samples;
   };
 
-  Kept recorder;
+  SampleList recorder;
   Context context{recorder,
                   1,
                   1,
@@ -84,51 +85,51 @@
   bool stop = false;
 };
 
-TEST_F(RigTest, SeesAChangeInForceAtEverySidecar) {
-  DiscoveryRig::Options options;
+TEST_F(RigTest, SeesAChangeTakeEffectAtEverySidecar) {
+  DiscoveryTestBed::Options options;
   options.listed = 40;
   options.regions = 2;
   options.fleets = 2;
-  DiscoveryRig rig(context, options);
-  const auto first = rig.Counts().at("generation").get<std::int64_t>();
-  rig.Add(7);
-  rig.AwaitWatches();
-  EXPECT_EQ(rig.Joined().count, 7);
-  EXPECT_EQ(rig.Counts().at("watches").get<int>(), 7);
-  rig.Change({{"first", 3}, {"lifecycle", "draining"}});
+  DiscoveryTestBed test_bed(context, options);
+  const auto first = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
+  test_bed.AddSidecars(7);
+  test_bed.AwaitWatches();
+  EXPECT_EQ(test_bed.FirstListDelays().count, 7);
+  EXPECT_EQ(test_bed.DiscoveryCounts().at("watches").get<int>(), 7);
+  test_bed.ChangeServers({{"first", 3}, {"lifecycle", "draining"}});
   const std::int64_t last =
-      rig.Change({{"first", 0}, {"count", 2}, {"stride", 37}, {"lifecycle", "removed"}});
-  rig.AwaitForce(last);
-  const auto changes = rig.ChangesSince(first);
+      test_bed.ChangeServers({{"first", 0}, {"count", 2}, {"stride", 37}, {"lifecycle", "removed"}});
+  test_bed.AwaitEffect(last);
+  const auto changes = test_bed.ChangesSince(first);
   ASSERT_EQ(changes.size(), 2U);
-  EXPECT_EQ(rig.Force(changes).count, 14);
-  EXPECT_EQ(rig.Force(changes).count, 0);  // they have been told
-  rig.End(0);
-  rig.Add(1, 0);
-  rig.AwaitForce(last);
-  EXPECT_EQ(rig.FleetFigure("sidecars"), 5);
-  EXPECT_EQ(rig.Joined(0).count, 1);
+  EXPECT_EQ(test_bed.EffectDelays(changes).count, 14);
+  EXPECT_EQ(test_bed.EffectDelays(changes).count, 0);  // forgotten after the first call
+  test_bed.RemoveSidecars(0);
+  test_bed.AddSidecars(1, 0);
+  test_bed.AwaitEffect(last);
+  EXPECT_EQ(test_bed.SumOverFleets("sidecars"), 5);
+  EXPECT_EQ(test_bed.FirstListDelays(0).count, 1);
 }
 
-TEST_F(RigTest, ReadsEverySizeBeforeAnyIsRepeatedAndEndsEarlyIfItIsInterrupted) {
+TEST_F(RigTest, MeasuresEverySizeBeforeAnyIsRepeatedAndEndsEarlyIfInterrupted) {
   context.repeats = 2;
-  std::vector<std::pair<std::int64_t, int>> read;
-  ReadEach(context, {5, 7}, [&](std::int64_t size, int repeat) {
-    if (read.size() == 3) throw Interrupted();
-    read.emplace_back(size, repeat);
+  std::vector<std::pair<std::int64_t, int>> measured;
+  MeasureEach(context, {5, 7}, [&](std::int64_t size, int repeat) {
+    if (measured.size() == 3) throw Interrupted();
+    measured.emplace_back(size, repeat);
   });
-  EXPECT_EQ(read, (std::vector<std::pair<std::int64_t, int>>{{5, 0}, {7, 0}, {5, 1}}));
+  EXPECT_EQ(measured, (std::vector<std::pair<std::int64_t, int>>{{5, 0}, {7, 0}, {5, 1}}));
 }
 
-// The figures are a machine's own; that there are some for each size is not.
-TEST_F(RigTest, EachKindOfStepLeavesASampleForEachSize) {
+// Checks that there are figures for each size, not their values, which depend on the machine.
+TEST_F(RigTest, EachKindOfStepRecordsASampleForEachSize) {
   for (const auto& [kind, make] : StepKinds()) {
-    if (kOwnKinds.count(kind) == 0) continue;
+    if (kTestedKinds.count(kind) == 0) continue;
     recorder.samples.clear();
-    Small parameters;
+    SmallParameters parameters;
     const auto step = make(parameters);
-    const bool relayed = parameters.asked.count("relays") > 0;
-    const std::size_t fleets = parameters.asked.count("processes") > 0 ? 2 : 1;
+    const bool relayed = parameters.keys_read.count("relays") > 0;
+    const std::size_t fleets = parameters.keys_read.count("processes") > 0 ? 2 : 1;
     EXPECT_EQ(step->Requires().processes, 1 + fleets + (relayed ? 2 : 0)) << kind;
     step->Run(context);
     std::vector<double> sizes;
@@ -148,11 +149,12 @@
   }
 }
 
-// A zone of 40 servers in 37 zones has two; a rack, the zone's servers over its racks, and one at least.
-TEST_F(RigTest, ARackAndAZoneAreTwoPlaysWithALossAndAReturnEach) {
+// With 40 servers in 37 zones, zone 0 has two servers. A rack has the zone's servers divided by its racks,
+// and at least one.
+TEST_F(RigTest, LossOfARackOrAZoneHasALossAndAReturnPhase) {
   for (const auto& [kind, servers] : std::map<std::string, double>{{"play_rack", 1}, {"play_zone", 2}}) {
     recorder.samples.clear();
-    Small parameters;
+    SmallParameters parameters;
     StepKinds().at(kind)(parameters)->Run(context);
     ASSERT_EQ(recorder.samples.size(), 4U);
     for (const Sample& sample : recorder.samples) {
@@ -170,21 +172,22 @@
   }
 }
 
-// Behind relays discovery itself has no calls from sidecars, and the relays have what it would have.
+// With relays, discovery gets no calls from sidecars; the relays get the calls that it would get.
 TEST_F(RigTest, RelaysTakeTheCallsOfARegionThatIsRestarted) {
-  Small parameters;
+  SmallParameters parameters;
   StepKinds().at("play_region_restart")(parameters)->Run(context);
   ASSERT_EQ(recorder.samples.size(), 4U);
   for (const Sample& sample : recorder.samples) {
     const auto& figures = sample.figures;
-    const double calls = 2 * figures.at("restarted");  // for the whole list, and for the watch
+    const double calls = 2 * figures.at("restarted");  // one for the full list, one for the watch
     EXPECT_GT(calls, 0);
     if (sample.conditions.at("relays") > 0) {
       EXPECT_EQ(figures.at("calls"), 0);
       EXPECT_EQ(figures.at("relay_calls") - figures.at("relay_refused"), calls);
       EXPECT_EQ(figures.at("relay_whole_lists"), figures.at("restarted"));
     } else {
-      EXPECT_EQ(figures.at("calls") - figures.at("refused"), calls);  // a queue of four refuses some
+      // Some calls are refused, as the queue has space for four.
+      EXPECT_EQ(figures.at("calls") - figures.at("refused"), calls);
       EXPECT_EQ(figures.count("relay_calls"), 0U);
     }
     EXPECT_GT(figures.at("machine_cpu_share"), 0);
@@ -192,8 +195,8 @@
   }
 }
 
-TEST_F(RigTest, AReloadMovesEverySidecarAndBothChangesAreInForceAtAll) {
-  Small parameters;
+TEST_F(RigTest, AReloadMovesEverySidecarAndBothChangesTakeEffectAtAll) {
+  SmallParameters parameters;
   StepKinds().at("play_reload")(parameters)->Run(context);
   ASSERT_EQ(recorder.samples.size(), 4U);
   for (const Sample& sample : recorder.samples) {
@@ -207,55 +210,55 @@
   }
 }
 
-TEST_F(RigTest, AReloadNeedsTwoPlacesToMoveBetween) {
-  class One : public Small {
+TEST_F(RigTest, AReloadNeedsAtLeastTwoRegionsOrRelays) {
+  class SingleParameter : public SmallParameters {
    public:
-    explicit One(std::string key) : key_(std::move(key)) {}
-    std::int64_t Integer(const std::string& key, std::int64_t standard, std::int64_t least,
-                         std::int64_t most) override {
-      return key == key_ ? 1 : Small::Integer(key, standard, least, most);
+    explicit SingleParameter(std::string key) : key_(std::move(key)) {}
+    std::int64_t Integer(const std::string& key, std::int64_t default_value, std::int64_t min,
+                         std::int64_t max) override {
+      return key == key_ ? 1 : SmallParameters::Integer(key, default_value, min, max);
     }
-    std::vector<std::int64_t> Integers(const std::string& key, const std::vector<std::int64_t>& standard,
-                                       std::int64_t least, std::int64_t most) override {
+    std::vector<std::int64_t> Integers(const std::string& key, const std::vector<std::int64_t>& default_value,
+                                       std::int64_t min, std::int64_t max) override {
       if (key == key_) return {0, 1};
-      return Small::Integers(key, standard, least, most);
+      return SmallParameters::Integers(key, default_value, min, max);
     }
 
    private:
     const std::string key_;
   };
   for (const std::string key : {"regions", "relays"}) {
-    One parameters(key);
+    SingleParameter parameters(key);
     try {
       StepKinds().at("play_reload")(parameters);
-      ADD_FAILURE() << "taken: one of " << key;
+      ADD_FAILURE() << "accepted: one of " << key;
     } catch (const ScenarioError& error) {
       EXPECT_TRUE(std::string(error.what()).starts_with(key + ": must be ")) << error.what();
     }
   }
 }
 
-// The tier's processes, listeners, and memory are counted, at the largest of the numbers asked for.
-TEST_F(RigTest, RelaysAreNeedsOfTheirOwn) {
-  const DiscoveryRig::Options options{300, 3, 4};
-  const Needs without = RelayedRig::Requires(options, {0}, {100, 5000});
-  const Needs with = RelayedRig::Requires(options, {0, 8, 2}, {100, 5000});
+// Counts the processes, listening ports and memory of the relays, at the maximum number of relays.
+TEST_F(RigTest, RelaysAddToTheRequirements) {
+  const DiscoveryTestBed::Options options{300, 3, 4};
+  const Needs without = RelayedTestBed::Requirements(options, {0}, {100, 5000});
+  const Needs with = RelayedTestBed::Requirements(options, {0, 8, 2}, {100, 5000});
   EXPECT_EQ(with.processes, without.processes + 8);
-  EXPECT_EQ(with.ports, without.ports + 5 + 8);  // a region for each relay in place of three, and the relays'
+  EXPECT_EQ(with.ports, without.ports + 5 + 8);  // 8 regions instead of 3, and the ports of 8 relays
   EXPECT_GT(with.memory_mb, without.memory_mb);
   EXPECT_GE(with.descriptors, 5000U);
 }
 
-TEST_F(RigTest, StopsWhenItIsInterrupted) {
-  DiscoveryRig rig(context, {});
-  EXPECT_NO_THROW(rig.Pass(0));
+TEST_F(RigTest, WaitThrowsWhenInterrupted) {
+  DiscoveryTestBed test_bed(context, {});
+  EXPECT_NO_THROW(test_bed.Wait(0));
   stop = true;
-  EXPECT_THROW(rig.Pass(10), Interrupted);
+  EXPECT_THROW(test_bed.Wait(10), Interrupted);
 }
 
-TEST_F(RigTest, APartSaysWhatItCannotDoAndItsEndIsSeen) {
+TEST_F(RigTest, AskThrowsForAFailedCommandAndAfterTheEndOfTheProcess) {
   Part part(kDiscoveryProcess, {});
-  EXPECT_THROW(part.Ask({{"do", "counts"}}), std::runtime_error);  // not open yet
+  EXPECT_THROW(part.Ask({{"do", "counts"}}), std::runtime_error);  // no "open" before
   EXPECT_NO_THROW(part.Ask({{"do", "open"}}));
   part.child().Signal(SIGKILL);
   EXPECT_THROW(part.Ask({{"do", "counts"}}), std::runtime_error);
--- a/tests/scale/discovery_stand_in_test.cpp
+++ b/tests/scale/discovery_stand_in_test.cpp
@@ -1,4 +1,4 @@
-// The stand-in for discovery against the sidecar's own client of it.
+// Tests of the fake discovery with the sidecar's own discovery client.
 #include "scale/discovery_stand_in.hpp"
 
 #include "net/discovery.hpp"
@@ -29,7 +29,7 @@
   return servers;
 }
 
-// A client of the stand-in and what it was told.
+// A client of the fake discovery, and the updates that it received.
 struct Client {
   Client(asio::io_context& io, const Tcp::endpoint& address, bool reopens = false, Micros silence = 2'700'000)
       : discovery(io, address, names, Timing(reopens, silence), 1,
@@ -49,35 +49,35 @@
   net::Discovery discovery;
 };
 
-class DiscoveryStandInTest : public ::testing::Test {
+class FakeDiscoveryTest : public ::testing::Test {
  protected:
   void Start(DiscoveryStandIn::Options options = {}, std::size_t regions = 1) {
     std::vector<Tcp::endpoint> listen;
     for (std::size_t i = 0; i < regions; ++i)
       listen.emplace_back(asio::ip::make_address("127.0.0." + std::to_string(i + 1)), 0);
-    stand_in = std::make_unique<DiscoveryStandIn>(io, listen, options);
-    stand_in->SetList(Servers(3));
+    fake_discovery = std::make_unique<DiscoveryStandIn>(io, listen, options);
+    fake_discovery->SetList(Servers(3));
   }
-  Client& Join(std::size_t region = 0, bool reopens = false, Micros silence = 2'700'000) {
-    clients.push_back(std::make_unique<Client>(io, stand_in->addresses()[region], reopens, silence));
+  Client& AddClient(std::size_t region = 0, bool reopens = false, Micros silence = 2'700'000) {
+    clients.push_back(std::make_unique<Client>(io, fake_discovery->addresses()[region], reopens, silence));
     return *clients.back();
   }
-  bool Watches(std::uint64_t count) {
-    return RunUntil(io, [&] { return stand_in->counts().watches == count; });
+  bool AwaitWatches(std::uint64_t count) {
+    return RunUntil(io, [&] { return fake_discovery->counts().watches == count; });
   }
 
   asio::io_context io;
-  std::unique_ptr<DiscoveryStandIn> stand_in;
+  std::unique_ptr<DiscoveryStandIn> fake_discovery;
   std::vector<std::unique_ptr<Client>> clients;
 };
 
-TEST_F(DiscoveryStandInTest, GivesTheWholeListAndThenTheChanges) {
+TEST_F(FakeDiscoveryTest, SendsTheFullListAndThenTheChanges) {
   Start();
-  Client& client = Join();
+  Client& client = AddClient();
   client.discovery.Watch();
-  ASSERT_TRUE(Watches(1));
-  const std::int64_t before = stand_in->generation();
-  EXPECT_EQ(stand_in->Change({Server(1, Entry::Lifecycle::kRemoved), Server(7)}), before + 1);
+  ASSERT_TRUE(AwaitWatches(1));
+  const std::int64_t before = fake_discovery->generation();
+  EXPECT_EQ(fake_discovery->Change({Server(1, Entry::Lifecycle::kRemoved), Server(7)}), before + 1);
   ASSERT_TRUE(RunUntil(io, [&] { return client.lists.size() == 3; }));
   EXPECT_TRUE(client.lists[0].full);
   ASSERT_EQ(client.lists[0].endpoints.size(), 3U);
@@ -89,101 +89,102 @@
   EXPECT_EQ(server.info.cell, 2);
   EXPECT_EQ(server.info.weight, 1.5);
   EXPECT_EQ(server.info.started, 1'700'000'000'123'000);
-  EXPECT_FALSE(client.lists[1].full);  // the watch begins where the list ended
+  EXPECT_FALSE(client.lists[1].full);  // the watch starts at the generation of the list
   EXPECT_TRUE(client.lists[1].endpoints.empty());
   EXPECT_EQ(client.lists[2].generation, before + 1);
   ASSERT_EQ(client.lists[2].endpoints.size(), 2U);
   EXPECT_EQ(client.lists[2].endpoints[0].info.state, ServerInfo::State::kGone);
-  EXPECT_EQ(stand_in->counts().calls, 2U);
-  EXPECT_EQ(stand_in->counts().whole_lists, 1U);
-  EXPECT_EQ(stand_in->counts().objects, 3U);
-  EXPECT_EQ(stand_in->counts().entries, 5U);
+  EXPECT_EQ(fake_discovery->counts().calls, 2U);
+  EXPECT_EQ(fake_discovery->counts().full_lists, 1U);
+  EXPECT_EQ(fake_discovery->counts().objects, 3U);
+  EXPECT_EQ(fake_discovery->counts().entries, 5U);
   EXPECT_EQ(client.failures, 0);
 }
 
-TEST_F(DiscoveryStandInTest, WhatIsRemovedIsInNoWholeList) {
+TEST_F(FakeDiscoveryTest, TheFullListContainsNoRemovedServers) {
   Start();
-  stand_in->Change({Server(1, Entry::Lifecycle::kRemoved)});
-  Client& client = Join();
+  fake_discovery->Change({Server(1, Entry::Lifecycle::kRemoved)});
+  Client& client = AddClient();
   client.discovery.Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return !client.lists.empty(); }));
   EXPECT_EQ(client.lists[0].endpoints.size(), 2U);
 }
 
-TEST_F(DiscoveryStandInTest, AWatchBeginsWithWhatItMissedEachEntryOnce) {
+TEST_F(FakeDiscoveryTest, AWatchStartsWithTheMissedChangesEachEntryOnce) {
   Start();
-  const std::int64_t had = stand_in->generation();
-  stand_in->Change({Server(1, Entry::Lifecycle::kDraining)});
-  stand_in->Change({Server(2, Entry::Lifecycle::kDraining)});
-  stand_in->Change({Server(1, Entry::Lifecycle::kRemoved)});
-  Client& client = Join();
-  client.discovery.SetKnownGeneration(had);
+  const std::int64_t known = fake_discovery->generation();
+  fake_discovery->Change({Server(1, Entry::Lifecycle::kDraining)});
+  fake_discovery->Change({Server(2, Entry::Lifecycle::kDraining)});
+  fake_discovery->Change({Server(1, Entry::Lifecycle::kRemoved)});
+  Client& client = AddClient();
+  client.discovery.SetKnownGeneration(known);
   client.discovery.Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return !client.lists.empty(); }));
   EXPECT_FALSE(client.lists[0].full);
-  EXPECT_EQ(client.lists[0].generation, had + 3);
+  EXPECT_EQ(client.lists[0].generation, known + 3);
   ASSERT_EQ(client.lists[0].endpoints.size(), 2U);
   EXPECT_EQ(client.lists[0].endpoints[0].info.state, ServerInfo::State::kGone);
   EXPECT_EQ(client.lists[0].endpoints[1].info.state, ServerInfo::State::kDraining);
 }
 
-TEST_F(DiscoveryStandInTest, AWatchFromBeforeTheHistoryOrBeyondItBeginsWithTheWholeList) {
+TEST_F(FakeDiscoveryTest, AWatchFromOutsideTheHistoryStartsWithTheFullList) {
   DiscoveryStandIn::Options options;
   options.history = 2;
   Start(options);
-  const std::int64_t had = stand_in->generation();
-  for (int i = 0; i < 3; ++i) stand_in->Change({Server(i, Entry::Lifecycle::kDraining)});
-  for (const std::int64_t index : {had, had + 100}) {
-    Client& client = Join();
+  const std::int64_t known = fake_discovery->generation();
+  for (int i = 0; i < 3; ++i) fake_discovery->Change({Server(i, Entry::Lifecycle::kDraining)});
+  for (const std::int64_t index : {known, known + 100}) {
+    Client& client = AddClient();
     client.discovery.SetKnownGeneration(index);
     client.discovery.Watch();
     ASSERT_TRUE(RunUntil(io, [&] { return !client.lists.empty(); }));
     EXPECT_TRUE(client.lists[0].full);
     EXPECT_EQ(client.lists[0].endpoints.size(), 3U);
   }
-  Client& near = Join();
-  near.discovery.SetKnownGeneration(had + 1);
-  near.discovery.Watch();
-  ASSERT_TRUE(RunUntil(io, [&] { return !near.lists.empty(); }));
-  EXPECT_FALSE(near.lists[0].full);
-  EXPECT_EQ(near.lists[0].endpoints.size(), 2U);
+  Client& recent = AddClient();
+  recent.discovery.SetKnownGeneration(known + 1);
+  recent.discovery.Watch();
+  ASSERT_TRUE(RunUntil(io, [&] { return !recent.lists.empty(); }));
+  EXPECT_FALSE(recent.lists[0].full);
+  EXPECT_EQ(recent.lists[0].endpoints.size(), 2U);
 }
 
-TEST_F(DiscoveryStandInTest, MakesAChangeOnceForAllWatches) {
+TEST_F(FakeDiscoveryTest, SerializesAChangeOnceForAllWatches) {
   Start();
-  for (int i = 0; i < 5; ++i) Join().discovery.Watch();
-  ASSERT_TRUE(Watches(5));
-  const std::uint64_t made = stand_in->serialized();
-  const std::uint64_t written = stand_in->counts().objects;
-  stand_in->Change({Server(1, Entry::Lifecycle::kDraining)});
-  EXPECT_EQ(stand_in->serialized(), made + 1);
-  EXPECT_EQ(stand_in->counts().objects, written + 5);
+  for (int i = 0; i < 5; ++i) AddClient().discovery.Watch();
+  ASSERT_TRUE(AwaitWatches(5));
+  const std::uint64_t made = fake_discovery->objects_serialized();
+  const std::uint64_t written = fake_discovery->counts().objects;
+  fake_discovery->Change({Server(1, Entry::Lifecycle::kDraining)});
+  EXPECT_EQ(fake_discovery->objects_serialized(), made + 1);
+  EXPECT_EQ(fake_discovery->counts().objects, written + 5);
   EXPECT_TRUE(RunUntil(io, [&] {
-    return std::all_of(clients.begin(), clients.end(),
-                       [&](const auto& c) { return c->lists.back().generation == stand_in->generation(); });
+    return std::all_of(clients.begin(), clients.end(), [&](const auto& c) {
+      return c->lists.back().generation == fake_discovery->generation();
+    });
   }));
 }
 
-TEST_F(DiscoveryStandInTest, BlankLinesKeepAWatchThatHasNoNews) {
+TEST_F(FakeDiscoveryTest, HeartbeatsKeepAnIdleWatchOpen) {
   DiscoveryStandIn::Options options;
-  options.blank_line = 20'000;
+  options.heartbeat_interval = 20'000;
   Start(options);
-  Client& client = Join();
+  Client& client = AddClient();
   client.discovery.Watch();
-  ASSERT_TRUE(RunUntil(io, [&] { return stand_in->counts().blank_lines >= 5; }));
-  EXPECT_EQ(stand_in->counts().calls, 2U);
+  ASSERT_TRUE(RunUntil(io, [&] { return fake_discovery->counts().heartbeats >= 5; }));
+  EXPECT_EQ(fake_discovery->counts().calls, 2U);
   EXPECT_EQ(client.failures, 0);
 }
 
-TEST_F(DiscoveryStandInTest, TurnsAwayWhatItsQueueDoesNotHold) {
+TEST_F(FakeDiscoveryTest, RefusesCallsWhenTheQueueIsFull) {
   DiscoveryStandIn::Options options;
-  options.service_time = 60'000'000;  // nothing is served in the test's time
+  options.service_time = 60'000'000;  // no call is finished during the test
   options.queue = 2;
-  options.longest_wait = 60'000'000;
+  options.max_wait = 60'000'000;
   Start(options);
-  for (int i = 0; i < 7; ++i) Join().discovery.Watch();
-  ASSERT_TRUE(RunUntil(io, [&] { return stand_in->counts().calls == 7; }));
-  EXPECT_EQ(stand_in->counts().refused, 4U);  // one is being served, two wait
+  for (int i = 0; i < 7; ++i) AddClient().discovery.Watch();
+  ASSERT_TRUE(RunUntil(io, [&] { return fake_discovery->counts().calls == 7; }));
+  EXPECT_EQ(fake_discovery->counts().refused, 4U);  // one is in service, two wait
   const auto failures = [&] {
     int sum = 0;
     for (const auto& client : clients) sum += client->failures;
@@ -192,81 +193,82 @@
   EXPECT_TRUE(RunUntil(io, [&] { return failures() == 4; }));
 }
 
-TEST_F(DiscoveryStandInTest, TurnsAwayWhatHasWaitedTooLong) {
+TEST_F(FakeDiscoveryTest, RefusesCallsThatWaitedTooLong) {
   DiscoveryStandIn::Options options;
   options.service_time = 60'000'000;
-  options.longest_wait = 1'000;
+  options.max_wait = 1'000;
   Start(options);
-  for (int i = 0; i < 3; ++i) Join().discovery.Watch();
-  EXPECT_TRUE(RunUntil(io, [&] { return stand_in->counts().refused == 2; }));
+  for (int i = 0; i < 3; ++i) AddClient().discovery.Watch();
+  EXPECT_TRUE(RunUntil(io, [&] { return fake_discovery->counts().refused == 2; }));
 }
 
-TEST_F(DiscoveryStandInTest, ServesOneCallAfterAnother) {
+TEST_F(FakeDiscoveryTest, ServesOneCallAfterAnother) {
   DiscoveryStandIn::Options options;
   options.service_time = 1'000;
-  options.service_time_per_line = 100;
+  options.service_time_per_entry = 100;
   Start(options);
-  for (int i = 0; i < 5; ++i) Join().discovery.Watch();
-  ASSERT_TRUE(Watches(5));
-  EXPECT_EQ(stand_in->counts().refused, 0U);
-  EXPECT_EQ(stand_in->counts().whole_lists, 5U);
+  for (int i = 0; i < 5; ++i) AddClient().discovery.Watch();
+  ASSERT_TRUE(AwaitWatches(5));
+  EXPECT_EQ(fake_discovery->counts().refused, 0U);
+  EXPECT_EQ(fake_discovery->counts().full_lists, 5U);
 }
 
-TEST_F(DiscoveryStandInTest, WhatHasFallenSilentIsOpenedAnew) {
+TEST_F(FakeDiscoveryTest, ASilentWatchIsReopened) {
   Start();
-  Client& client = Join(0, /*reopens=*/true, /*silence=*/200'000);
+  Client& client = AddClient(0, /*reopens=*/true, /*silence=*/200'000);
   client.discovery.Watch();
-  ASSERT_TRUE(Watches(1));
-  stand_in->SetSilent(true);
-  stand_in->Change({Server(2, Entry::Lifecycle::kRemoved)});
+  ASSERT_TRUE(AwaitWatches(1));
+  fake_discovery->SetSilent(true);
+  fake_discovery->Change({Server(2, Entry::Lifecycle::kRemoved)});
   ASSERT_TRUE(RunUntil(io, [&] { return client.failures > 0; }));
-  EXPECT_LT(client.lists.back().generation, stand_in->generation());
-  stand_in->SetSilent(false);
-  EXPECT_TRUE(RunUntil(io, [&] { return client.lists.back().generation == stand_in->generation(); }));
+  EXPECT_LT(client.lists.back().generation, fake_discovery->generation());
+  fake_discovery->SetSilent(false);
+  EXPECT_TRUE(RunUntil(io, [&] { return client.lists.back().generation == fake_discovery->generation(); }));
 }
 
-TEST_F(DiscoveryStandInTest, ACutRegionIsSilentAloneAndCannotBeJoinedUntilItIsHealed) {
+TEST_F(FakeDiscoveryTest, OnlyAPartitionedRegionIsSilentAndUnreachableUntilHealed) {
   Start({}, 2);
-  Client& near = Join(0);
-  Client& far = Join(1, /*reopens=*/true, /*silence=*/10'000'000);
-  near.discovery.Watch();
-  far.discovery.Watch();
-  ASSERT_TRUE(Watches(2));
-  ASSERT_TRUE(RunUntil(io, [&] { return near.lists.size() == 2 && far.lists.size() == 2; }));
-  stand_in->Cut(1, true);
-  stand_in->Change({Server(2, Entry::Lifecycle::kRemoved)});
-  ASSERT_TRUE(RunUntil(io, [&] { return near.lists.size() == 3; }));
-  EXPECT_EQ(far.lists.size(), 2U);
-  EXPECT_EQ(far.failures, 0);
+  Client& connected = AddClient(0);
+  Client& partitioned = AddClient(1, /*reopens=*/true, /*silence=*/10'000'000);
+  connected.discovery.Watch();
+  partitioned.discovery.Watch();
+  ASSERT_TRUE(AwaitWatches(2));
+  ASSERT_TRUE(RunUntil(io, [&] { return connected.lists.size() == 2 && partitioned.lists.size() == 2; }));
+  fake_discovery->SetPartitioned(1, true);
+  fake_discovery->Change({Server(2, Entry::Lifecycle::kRemoved)});
+  ASSERT_TRUE(RunUntil(io, [&] { return connected.lists.size() == 3; }));
+  EXPECT_EQ(partitioned.lists.size(), 2U);
+  EXPECT_EQ(partitioned.failures, 0);
 
   bool up = false;
   Tcp::socket late(io);
-  late.async_connect(stand_in->addresses()[1], [&](net::ErrorCode error) { up = !error; });
+  late.async_connect(fake_discovery->addresses()[1], [&](net::ErrorCode error) { up = !error; });
   RunFor(io, 200ms);
   EXPECT_FALSE(up);
-  stand_in->Cut(1, false);
-  EXPECT_TRUE(RunUntil(io, [&] { return up; }));  // as the kernel tries again
-  Client& later = Join(1);
+  fake_discovery->SetPartitioned(1, false);
+  EXPECT_TRUE(RunUntil(io, [&] { return up; }));  // by a retransmission of the kernel
+  Client& later = AddClient(1);
   later.discovery.Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return !later.lists.empty(); }));
   EXPECT_EQ(later.lists[0].endpoints.size(), 2U);
 }
 
-TEST_F(DiscoveryStandInTest, DiesWithItsWatchesAndReturnsWithItsList) {
+TEST_F(FakeDiscoveryTest, ACrashEndsTheWatchesAndARestartKeepsTheList) {
   Start();
-  Client& client = Join(0, /*reopens=*/true);
+  Client& client = AddClient(0, /*reopens=*/true);
   client.discovery.Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return client.lists.size() == 2; }));
-  stand_in->Die();
-  EXPECT_EQ(stand_in->counts().watches, 0U);
-  ASSERT_TRUE(RunUntil(io, [&] { return client.failures >= 2; }));  // the end of the watch, and a refusal
-  stand_in->Change({Server(2, Entry::Lifecycle::kRemoved)});
-  stand_in->Return();
+  fake_discovery->Crash();
+  EXPECT_EQ(fake_discovery->counts().watches, 0U);
+  // The end of the watch and a refused connection.
+  ASSERT_TRUE(RunUntil(io, [&] { return client.failures >= 2; }));
+  fake_discovery->Change({Server(2, Entry::Lifecycle::kRemoved)});
+  fake_discovery->Restart();
   ASSERT_TRUE(RunUntil(io, [&] { return client.lists.size() == 3; }));
   EXPECT_FALSE(client.lists[2].full);
   EXPECT_EQ(client.lists[2].endpoints.size(), 1U);
-  stand_in->Die();
-  stand_in->Return(/*anew=*/true);
+  fake_discovery->Crash();
+  fake_discovery->Restart(/*reset_generations=*/true);
   ASSERT_TRUE(RunUntil(io, [&] { return client.lists.size() == 4; }));
   EXPECT_TRUE(client.lists[3].full);
   EXPECT_EQ(client.lists[3].generation, 1);
