--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -61,7 +61,7 @@
 
   // Waits for the time to pass and returns the result.
   bool Met() const {
-    return RunUntil(io_, [this] { return state_->checked; }) && state_->met;
+    return RunUntil(io_, [this] { return state_->checked; }) && state_->result;
   }
 
  private:
@@ -72,14 +72,14 @@
     asio::steady_timer timer;
     std::function<bool()> done;
     bool checked = false;
-    bool met = false;
+    bool result = false;
   };
   // Checks `done` after `remaining` more iterations of the event loop.
   static void CheckAfter(const std::shared_ptr<State>& state, int remaining) {
     if (remaining > 0)
       return asio::post(state->timer.get_executor(),
                         [state, remaining] { CheckAfter(state, remaining - 1); });
-    state->met = state->done();
+    state->result = state->done();
     state->checked = true;
   }
 
@@ -114,7 +114,7 @@
     asio::write(socket, asio::buffer(text), ignored);
   }
   // Writes asynchronously, for texts that exceed the kernel's buffers: the event loop has to run meanwhile.
-  void WriteLater(const std::string& text, bool close = false) {
+  void WriteAsync(const std::string& text, bool close = false) {
     const auto buffer = std::make_shared<const std::string>(text);
     asio::async_write(socket, asio::buffer(*buffer),
                       [self = shared_from_this(), buffer, close](ErrorCode error, std::size_t) {
@@ -144,7 +144,7 @@
   Tcp::socket socket;
   std::string received;
   bool ended = false;
-  bool written = false;  // WriteLater has completed
+  bool written = false;  // WriteAsync has completed
   std::function<void(Peer&)> on_data;
 
  private:
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -425,10 +425,10 @@
   const std::string body = Pattern(std::size_t{3} << 20);
   int mode = 0;
   ScriptedServer server(io, [&](Peer& peer) {
-    if (mode == 0) peer.WriteLater(Reply("200 OK", body));
+    if (mode == 0) peer.WriteAsync(Reply("200 OK", body));
     if (mode == 1)
-      peer.WriteLater("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunked(body, 50'000));
-    if (mode == 2) peer.WriteLater("HTTP/1.1 200 OK\r\n\r\n" + body, /*close=*/true);
+      peer.WriteAsync("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunked(body, 50'000));
+    if (mode == 2) peer.WriteAsync("HTTP/1.1 200 OK\r\n\r\n" + body, /*close=*/true);
   });
   Start({Entry("s1", server.address)});
   for (; mode < 3; ++mode) {
@@ -451,7 +451,7 @@
 TEST_F(StreamTest, AnHttp10ClientGetsAnAnswerOfUnknownLengthUntilTheClose) {
   const std::string body = Pattern(300'000);
   ScriptedServer server(io, [&](Peer& peer) {
-    peer.WriteLater("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunked(body, 9'000));
+    peer.WriteAsync("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunked(body, 9'000));
   });
   Start({Entry("s1", server.address)});
   auto client = Client("GET /api HTTP/1.0\r\nReq-Id: r1\r\nReq-Kind: look\r\n\r\n");
@@ -481,7 +481,7 @@
 TEST_F(StreamTest, AClientThatDoesNotReadSlowsTheServerDown) {
   const std::string body = Pattern(std::size_t{32} << 20);
   Peer* writing = nullptr;
-  ScriptedServer server(io, [&](Peer& peer) { (writing = &peer)->WriteLater(Reply("200 OK", body)); });
+  ScriptedServer server(io, [&](Peer& peer) { (writing = &peer)->WriteAsync(Reply("200 OK", body)); });
   Start({Entry("s1", server.address)});
   auto client = std::make_shared<Peer>(Tcp::socket(io));
   client->socket.connect(sidecar->address());
@@ -506,7 +506,7 @@
   Start({Entry("s1", acceptor.local_endpoint())});
   const std::size_t size = std::size_t{32} << 20;
   auto client = Connect(io, sidecar->address());
-  client->WriteLater(PostHead("r1", "Content-Length: " + std::to_string(size)) + std::string(size, 'x'));
+  client->WriteAsync(PostHead("r1", "Content-Length: " + std::to_string(size)) + std::string(size, 'x'));
   ASSERT_TRUE(RunUntil(io, [&] { return connected; }));
   RunFor(io, 300ms);
   EXPECT_FALSE(client->written);
@@ -529,12 +529,12 @@
   });
   Start({Entry("s1", server.address)});
   auto with_length = Connect(io, sidecar->address());
-  with_length->WriteLater(PostHead("r1", "Content-Length: " + std::to_string(body.size())) + body);
+  with_length->WriteAsync(PostHead("r1", "Content-Length: " + std::to_string(body.size())) + body);
   EXPECT_EQ(Status(*with_length), "200");
   EXPECT_TRUE(received == body);
   chunked = true;
   auto with_chunks = Connect(io, sidecar->address());
-  with_chunks->WriteLater(PostHead("r2", "Transfer-Encoding: chunked") + Chunked(body, 70'000));
+  with_chunks->WriteAsync(PostHead("r2", "Transfer-Encoding: chunked") + Chunked(body, 70'000));
   EXPECT_EQ(Status(*with_chunks), "200");
   EXPECT_TRUE(Unchunked(received) == body);
   EXPECT_EQ(PayClass().served, 2U);
@@ -560,14 +560,14 @@
   const std::string framing = "Content-Length: " + std::to_string(body.size());
   for (int i = 0; i < 4; ++i) {  // some of them try the unreachable server first
     auto client = Connect(io, sidecar->address());
-    client->WriteLater(PostHead("r" + std::to_string(i), framing) + body);
+    client->WriteAsync(PostHead("r" + std::to_string(i), framing) + body);
     ASSERT_EQ(Status(*client), "200");
     EXPECT_TRUE(received == body);
   }
   breaks = true;
   const std::size_t connections = server.peers.size();
   auto client = Connect(io, sidecar->address());
-  client->WriteLater(PostHead("x", framing) + body);
+  client->WriteAsync(PostHead("x", framing) + body);
   EXPECT_EQ(Status(*client), "503");  // no server has started it
   RunFor(io, 300ms);
   EXPECT_LE(server.peers.size(), connections + 1);
--- a/tests/relay/fixture.hpp
+++ b/tests/relay/fixture.hpp
@@ -54,7 +54,7 @@
  private:
   void Answer(Peer& peer) {
     if (peer.requests() != 1) return;
-    if (!IsWatch(peer)) return peer.WriteLater(Reply("200 OK", full_list.dump()));
+    if (!IsWatch(peer)) return peer.WriteAsync(Reply("200 OK", full_list.dump()));
     peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunk(first_object + "\n"));
   }
 };
--- a/tests/relay/server_test.cpp
+++ b/tests/relay/server_test.cpp
@@ -136,7 +136,7 @@
   const auto watch = Send(WatchFrom(41));
   watch->Read();
   ASSERT_TRUE(RunUntil(io, [&] { return counts().watches_begun == 1; }));
-  watch->WriteLater(std::string(300'000, 'x'));
+  watch->WriteAsync(std::string(300'000, 'x'));
   EXPECT_TRUE(RunUntil(io, [&] { return watch->ended; }));
   EXPECT_TRUE(RunUntil(io, [&] { return relay->server().connections() == 0; }));
 }
