--- a/scale/call_plan.cpp
+++ b/scale/call_plan.cpp
@@ -16,7 +16,7 @@
   return plan;
 }
 
-std::size_t CallPlan::Open(double calls_per_s, std::size_t depth) const {
+std::size_t CallPlan::MaxOpenCalls(double calls_per_s, std::size_t depth) const {
   const double service_s = std::max<double>(static_cast<double>(server.service_time.count()), 1000) / 1e6;
   return 1 + static_cast<std::size_t>(calls_per_s * 5 * service_s * static_cast<double>(depth));
 }
@@ -34,8 +34,9 @@
   context.recorder.Add(std::move(sample));
 }
 
-void ForEachReading(Context& context, const std::vector<std::int64_t>& sizes,
-                    const std::function<void(std::int64_t size, int repeat, std::uint64_t seed)>& measure) {
+void ForEachMeasurement(
+    Context& context, const std::vector<std::int64_t>& sizes,
+    const std::function<void(std::int64_t size, int repeat, std::uint64_t seed)>& measure) {
   std::mt19937_64 random(context.seed);
   for (int repeat = 0; repeat < context.repeats; ++repeat) {
     for (const std::int64_t size : sizes) {
--- a/scale/call_plan.hpp
+++ b/scale/call_plan.hpp
@@ -8,9 +8,9 @@
 #include <functional>
 #include <vector>
 
+#include "fake_server.hpp"
 #include "paired_run.hpp"
 #include "remote_servers.hpp"
-#include "server_stand_in.hpp"
 #include "step.hpp"
 
 namespace merlinrun::scale {
@@ -24,7 +24,7 @@
   static CallPlan Read(Parameters& parameters);
   // Returns an upper estimate of the number of calls of one caller that are open at the same time, for calls
   // that pass through `depth` services. A call is assumed to take five times its total service time.
-  std::size_t Open(double calls_per_s, std::size_t depth = 1) const;
+  std::size_t MaxOpenCalls(double calls_per_s, std::size_t depth = 1) const;
   // Returns `server` with this seed.
   ServerSettings ServerWithSeed(std::uint64_t seed) const;
 };
@@ -34,8 +34,9 @@
 void RecordPairedSample(Context& context, Sample sample, const PairedResult& result, RemoteServers& servers);
 
 // Calls `measure` for each size in each repeat, every time with a new seed, until the run is to stop.
-void ForEachReading(Context& context, const std::vector<std::int64_t>& sizes,
-                    const std::function<void(std::int64_t size, int repeat, std::uint64_t seed)>& measure);
+void ForEachMeasurement(
+    Context& context, const std::vector<std::int64_t>& sizes,
+    const std::function<void(std::int64_t size, int repeat, std::uint64_t seed)>& measure);
 
 }  // namespace merlinrun::scale
 
--- a/scale/call_rate.cpp
+++ b/scale/call_rate.cpp
@@ -28,7 +28,7 @@
     Needs requirements;
     // An open call, direct or through a sidecar, takes one descriptor in this process and one in a server
     // process. A call through a sidecar takes two more there. A sidecar also keeps some for each server.
-    requirements.descriptors = 128 + sidecars * (8 * servers + 6 * plan_.Open(rate));
+    requirements.descriptors = 128 + sidecars * (8 * servers + 6 * plan_.MaxOpenCalls(rate));
     requirements.ports = servers + 1 + sidecars + processes;
     requirements.processes = sidecars + processes;
     // This process, the memory limit of each sidecar, and the server processes.
@@ -37,7 +37,7 @@
   }
 
   void Run(Context& context) override {
-    ForEachReading(context, rates_, [&](std::int64_t rate, int repeat, std::uint64_t seed) {
+    ForEachMeasurement(context, rates_, [&](std::int64_t rate, int repeat, std::uint64_t seed) {
       Measure(context, static_cast<double>(rate), repeat, seed);
     });
   }
@@ -46,10 +46,10 @@
   void Measure(Context& context, double rate, int repeat, std::uint64_t seed) const {
     net::asio::io_context io(1);
     RemoteServers servers(plan_.server_processes, context.scratch);
-    const Service service(io, servers.Open(Alike(plan_.ServerWithSeed(seed), servers_)));
+    const Service service(io, servers.Open(ReplicateSettings(plan_.ServerWithSeed(seed), servers_)));
     RealSidecars sidecars(io, context, seed);
     Ways paths;
-    for (const net::Tcp::endpoint& address : sidecars.Add(sidecars_, service.discovery())) {
+    for (const net::Tcp::endpoint& address : sidecars.Add(sidecars_, service.discovery_address())) {
       paths.direct.push_back(service.addresses());
       paths.through.push_back({address});
     }
--- a/scale/caller.cpp
+++ b/scale/caller.cpp
@@ -43,7 +43,7 @@
   timer_.cancel();
 }
 
-CallResults Caller::Take() { return std::exchange(results_, {}); }
+CallResults Caller::TakeResults() { return std::exchange(results_, {}); }
 
 Clock::duration Caller::DrawInterval() {
   const double seconds = settings_.poisson
--- a/scale/caller.hpp
+++ b/scale/caller.hpp
@@ -63,7 +63,7 @@
   bool done() const { return !scheduling_ && results_.counts.sent == results_.counts.ended(); }
   const CallResults& results() const { return results_; }
   // Returns the results and resets them.
-  CallResults Take();
+  CallResults TakeResults();
   std::size_t connections() const { return pool_.connections(); }
 
  private:
--- a/scale/chain.cpp
+++ b/scale/chain.cpp
@@ -44,16 +44,16 @@
   }
   // Adds a service at the front of the chain without sidecars.
   void AddDirectHop(std::int64_t hop) {
-    std::vector<ServerSettings> servers = Alike(server_, width_);
+    std::vector<ServerSettings> servers = ReplicateSettings(server_, width_);
     for (ServerSettings& settings : servers) settings.onward = direct_entry_;
     direct_entry_ = Open(servers, hop);
   }
   // Adds a service at the front of the chain with sidecars, and a sidecar for each of its callers.
   void AddSidecarHop(std::int64_t hop) {
-    std::vector<ServerSettings> servers = Alike(server_, width_);
+    std::vector<ServerSettings> servers = ReplicateSettings(server_, width_);
     for (std::size_t i = 0; i < sidecar_entry_.size(); ++i) servers[i].onward = {sidecar_entry_[i]};
     services_.push_back(std::make_unique<Service>(io_, Open(servers, hop)));
-    sidecar_entry_ = sidecars_.Add(hop > 1 ? width_ : 1, services_.back()->discovery());
+    sidecar_entry_ = sidecars_.Add(hop > 1 ? width_ : 1, services_.back()->discovery_address());
   }
 
   net::asio::io_context& io_;
@@ -85,14 +85,14 @@
     // Enough for one process that contains all servers: it has both ends of each open call at every hop, in
     // both chains. This process has discovery's end of each watch.
     requirements.descriptors =
-        128 + requirements.ports + sidecars + 8 * depth * (width * width + plan_.Open(rate_, depth));
+        128 + requirements.ports + sidecars + 8 * depth * (width * width + plan_.MaxOpenCalls(rate_, depth));
     // The lists are short, so a sidecar needs little memory.
     requirements.memory_mb = 64 + 16 * static_cast<double>(requirements.processes);
     return requirements;
   }
 
   void Run(Context& context) override {
-    ForEachReading(context, depths_, [&](std::int64_t depth, int repeat, std::uint64_t seed) {
+    ForEachMeasurement(context, depths_, [&](std::int64_t depth, int repeat, std::uint64_t seed) {
       Measure(context, depth, repeat, seed);
     });
   }
--- a/scale/server_stand_in.cpp
+++ b/scale/fake_server.cpp
@@ -1,4 +1,4 @@
-#include "server_stand_in.hpp"
+#include "fake_server.hpp"
 
 #include <algorithm>
 #include <array>
@@ -28,7 +28,7 @@
 using net::ErrorCode;
 using net::Tcp;
 
-struct ServerStandIn::State : std::enable_shared_from_this<State> {
+struct FakeServer::State : std::enable_shared_from_this<State> {
   State(asio::io_context& event_loop, ServerSettings server_settings);
 
   void Accept();
@@ -65,7 +65,7 @@
 };
 
 // A connection and its current request.
-class ServerStandIn::Session : public std::enable_shared_from_this<Session> {
+class FakeServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(std::shared_ptr<State> state, Tcp::socket socket)
       : state_(std::move(state)), socket_(std::move(socket)), timer_(state_->io) {
@@ -165,7 +165,7 @@
   Clock::time_point deadline_;
 };
 
-ServerStandIn::State::State(asio::io_context& event_loop, ServerSettings server_settings)
+FakeServer::State::State(asio::io_context& event_loop, ServerSettings server_settings)
     : io(event_loop),
       settings(std::move(server_settings)),
       acceptor(io, {asio::ip::make_address("127.0.0.1"), 0}),
@@ -174,7 +174,7 @@
   if (!settings.onward.empty()) onward = std::make_unique<ClientPool>(io, settings.onward);
 }
 
-void ServerStandIn::State::Accept() {
+void FakeServer::State::Accept() {
   acceptor.async_accept([self = shared_from_this()](ErrorCode error, Tcp::socket socket) {
     if (error == asio::error::operation_aborted || !self->acceptor.is_open()) return;
     if (!error) std::make_shared<Session>(self, std::move(socket))->Read();
@@ -182,7 +182,7 @@
   });
 }
 
-void ServerStandIn::State::Close() {
+void FakeServer::State::Close() {
   ErrorCode ignored;
   acceptor.close(ignored);
   onward.reset();
@@ -190,7 +190,7 @@
   std::deque<std::shared_ptr<Session>>().swap(queue);
 }
 
-double ServerStandIn::State::SpeedShare() const {
+double FakeServer::State::SpeedShare() const {
   const Clock::duration age = Clock::now() - started;
   if (age >= settings.warm_up_time) return 1;
   return settings.cold_speed +
@@ -198,18 +198,18 @@
              (std::chrono::duration<double>(age) / std::chrono::duration<double>(settings.warm_up_time));
 }
 
-std::size_t ServerStandIn::State::Capacity() const {
+std::size_t FakeServer::State::Capacity() const {
   const double full = settings.cores + static_cast<double>(settings.queue);
   return std::max<std::size_t>(1, static_cast<std::size_t>(full * SpeedShare()));
 }
 
-void ServerStandIn::State::Enqueue(const std::shared_ptr<Session>& session) {
+void FakeServer::State::Enqueue(const std::shared_ptr<Session>& session) {
   ++open_requests;
   queue.push_back(session);
   StartQueued();
 }
 
-void ServerStandIn::State::StartQueued() {
+void FakeServer::State::StartQueued() {
   while (running < static_cast<std::size_t>(settings.cores) && !queue.empty()) {
     const std::shared_ptr<Session> session = std::move(queue.front());
     queue.pop_front();
@@ -224,13 +224,13 @@
   }
 }
 
-std::chrono::nanoseconds ServerStandIn::State::DrawServiceTime() {
+std::chrono::nanoseconds FakeServer::State::DrawServiceTime() {
   double ns = std::chrono::duration<double, std::nano>(settings.service_time).count();
   if (settings.exponential && ns > 0) ns = std::exponential_distribution<double>(1 / ns)(random);
   return std::chrono::nanoseconds(std::llround(ns / SpeedShare()));
 }
 
-void ServerStandIn::State::UpdateUtilisation() {
+void FakeServer::State::UpdateUtilisation() {
   const Clock::time_point now = Clock::now();
   const double weight = std::exp(-std::chrono::duration<double>(now - utilisation_updated).count());
   utilisation = utilisation * weight + static_cast<double>(running) / settings.cores * (1 - weight);
@@ -238,7 +238,7 @@
 }
 
 // In the format that the protocol defines for the load header, with the field names from the settings.
-std::string ServerStandIn::State::LoadReportText() {
+std::string FakeServer::State::LoadReportText() {
   UpdateUtilisation();
   std::array<char, 96> text{};
   std::snprintf(text.data(), text.size(), "TEXT busy_reqs=%zu, pending=%zu, cpu_share=%.3f", open_requests,
@@ -255,12 +255,12 @@
   return *this;
 }
 
-ServerStandIn::ServerStandIn(asio::io_context& io, ServerSettings settings)
+FakeServer::FakeServer(asio::io_context& io, ServerSettings settings)
     : state_(std::make_shared<State>(io, std::move(settings))) {
   state_->Accept();
 }
 
-ServerStandIn::~ServerStandIn() {
+FakeServer::~FakeServer() {
   try {
     state_->Close();
   } catch (const std::exception& error) {
@@ -269,9 +269,9 @@
   }
 }
 
-const Tcp::endpoint& ServerStandIn::address() const { return state_->address; }
-void ServerStandIn::Drain() { state_->draining = true; }
-const ServerCounts& ServerStandIn::counts() const { return state_->counts; }
-std::size_t ServerStandIn::open_requests() const { return state_->open_requests; }
+const Tcp::endpoint& FakeServer::address() const { return state_->address; }
+void FakeServer::Drain() { state_->draining = true; }
+const ServerCounts& FakeServer::counts() const { return state_->counts; }
+std::size_t FakeServer::open_requests() const { return state_->open_requests; }
 
 }  // namespace merlinrun::scale
--- a/scale/server_stand_in.hpp
+++ b/scale/fake_server.hpp
@@ -1,8 +1,8 @@
 // Fake HTTP server that behaves as the protocol describes servers: it has a number of cores, a queue, a
 // service time and a cold start, reports its load, and declines requests when it is full or draining. It can
 // call the next service of a chain for each request.
-#ifndef MERLINRUN_SCALE_SERVER_STAND_IN_HPP_
-#define MERLINRUN_SCALE_SERVER_STAND_IN_HPP_
+#ifndef MERLINRUN_SCALE_FAKE_SERVER_HPP_
+#define MERLINRUN_SCALE_FAKE_SERVER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -44,14 +44,14 @@
   ServerCounts& operator+=(const ServerCounts& other);
 };
 
-class ServerStandIn {
+class FakeServer {
  public:
   // Listens on a free port of the loopback address. `io` must outlive the server.
-  ServerStandIn(net::asio::io_context& io, ServerSettings settings);
+  FakeServer(net::asio::io_context& io, ServerSettings settings);
   // Closes all connections immediately, as if its process had ended.
-  ~ServerStandIn();
-  ServerStandIn(const ServerStandIn&) = delete;
-  ServerStandIn& operator=(const ServerStandIn&) = delete;
+  ~FakeServer();
+  FakeServer(const FakeServer&) = delete;
+  FakeServer& operator=(const FakeServer&) = delete;
 
   const net::Tcp::endpoint& address() const;
   // Declines new requests from now on and completes the open ones.
@@ -69,4 +69,4 @@
 
 }  // namespace merlinrun::scale
 
-#endif  // MERLINRUN_SCALE_SERVER_STAND_IN_HPP_
+#endif  // MERLINRUN_SCALE_FAKE_SERVER_HPP_
--- a/scale/paired_run.cpp
+++ b/scale/paired_run.cpp
@@ -40,9 +40,9 @@
     };
     if (!RunUntil(io_, done, time + kMaxCallDuration)) throw std::runtime_error("calls did not end in time");
   }
-  CallResults Take() {
+  CallResults TakeResults() {
     CallResults all;
-    for (const auto& caller : callers_) all += caller->Take();
+    for (const auto& caller : callers_) all += caller->TakeResults();
     return all;
   }
 
@@ -118,7 +118,7 @@
   // A first turn of each path is discarded: it opens connections, and sidecars learn about the servers.
   for (Callers* const callers : {&direct_callers, &through_callers}) {
     callers->RunTurn(std::max(plan.slice, std::chrono::duration<double>(10 / settings.calls_per_s)));
-    callers->Take();
+    callers->TakeResults();
   }
   const Clock::time_point start = Clock::now();
   const std::int64_t before = cpu_us();
@@ -128,8 +128,8 @@
   }
   result.cpu_us = cpu_us() - before;
   result.time = Clock::now() - start;
-  result.direct = direct_callers.Take();
-  result.through = through_callers.Take();
+  result.direct = direct_callers.TakeResults();
+  result.through = through_callers.TakeResults();
   if (should_stop()) return result;
   CheckServed("directly", result.direct.counts);
   CheckServed("through sidecars", result.through.counts);
--- a/scale/real_sidecar.cpp
+++ b/scale/real_sidecar.cpp
@@ -59,7 +59,7 @@
   child.environment = {"EDGE_CONFIG=" + ConfigurationFile(options_).string(),
                        "EDGE_LISTEN=" + AddressText(address()),
                        "EDGE_DISCOVERY=" + AddressText(options_.discovery),
-                       "EDGE_MGMT=" + (management_ ? AddressText(management()) : ""),
+                       "EDGE_MGMT=" + (management_ ? AddressText(management_address()) : ""),
                        "EDGE_ACCEPT_FD=",
                        "TMPDIR="};
   child.log = options_.scratch / (options_.name + ".log");
--- a/scale/real_sidecar.hpp
+++ b/scale/real_sidecar.hpp
@@ -39,7 +39,7 @@
 
   const net::Tcp::endpoint& address() const { return listen_.address; }
   // The address of the management endpoint. Requires SidecarOptions::management.
-  const net::Tcp::endpoint& management() const { return management_.value().address; }
+  const net::Tcp::endpoint& management_address() const { return management_.value().address; }
   std::int64_t cpu_us() const { return child_->cpu_us(); }
   std::int64_t rss_bytes() const { return child_->rss_bytes(); }
 
--- a/scale/reload.cpp
+++ b/scale/reload.cpp
@@ -62,7 +62,7 @@
     const auto max_sidecars = static_cast<std::size_t>(*std::max_element(counts_.begin(), counts_.end()));
     const auto servers = static_cast<std::size_t>(servers_);
     const auto processes = static_cast<std::size_t>(server_processes_);
-    const std::size_t open = CallPlan{}.Open(rate_);
+    const std::size_t open = CallPlan{}.MaxOpenCalls(rate_);
     Needs requirements;
     // Descriptors of this process for each sidecar: those of RealSidecar, both watches, the connection to the
     // management endpoint, and the caller's connections. The server processes have the other ends of the
@@ -76,7 +76,7 @@
   }
 
   void Run(Context& context) override {
-    ForEachReading(context, counts_, [&](std::int64_t count, int repeat, std::uint64_t seed) {
+    ForEachMeasurement(context, counts_, [&](std::int64_t count, int repeat, std::uint64_t seed) {
       Measure(context, count, repeat, seed);
     });
   }
@@ -96,13 +96,13 @@
     server.seed = seed;
     // Both fake discoveries list the same servers, so that the reload itself moves no calls. The last server
     // is added by the change.
-    std::vector<net::Tcp::endpoint> addresses = servers.Open(Alike(server, servers_ + 1));
-    const Entry change = Listed(addresses).back();
+    std::vector<net::Tcp::endpoint> addresses = servers.Open(ReplicateSettings(server, servers_ + 1));
+    const Entry change = MakeEntries(addresses).back();
     addresses.pop_back();
     const Service before(io, addresses);
     Service after(io, addresses);
     RealSidecars sidecars(io, context, seed, /*management=*/true);
-    sidecars.Add(count, before.discovery());
+    sidecars.Add(count, before.discovery_address());
     if (context.should_stop()) return;
     const auto all = static_cast<std::size_t>(count);
 
@@ -112,9 +112,9 @@
     DelayRecorder watching;
     const std::int64_t cpu_before = sidecars.cpu_us();
     watching.Begin();
-    sidecars.Reload(after.discovery());
+    sidecars.Reload(after.discovery_address());
     Await(io, context, "follow the new address", [&] {
-      while (watching.count() < after.counts().watches) watching.Add();
+      while (watching.count() < after.discovery_counts().watches) watching.Add();
       return watching.count() >= all;
     });
     RunFor(io, Nanoseconds(load_));  // work of the reload may follow the opening of the watch
@@ -145,10 +145,11 @@
     sample.figures["cpu_us_per_reload"] = (reload_cpu - baseline_cpu * (span / load_)) / each;
     sample.figures["calls"] = static_cast<double>(calls.counts.sent);
     sample.figures["unserved_calls"] = static_cast<double>(lost);
-    sample.figures["watches"] = static_cast<double>(after.counts().watches);
-    sample.figures["watches_left_behind"] = static_cast<double>(before.counts().watches);
-    sample.figures["discovery_calls_per_reload"] = static_cast<double>(after.counts().calls) / each;
-    sample.figures["discovery_bytes_out_per_reload"] = static_cast<double>(after.counts().bytes_out) / each;
+    sample.figures["watches"] = static_cast<double>(after.discovery_counts().watches);
+    sample.figures["watches_left_behind"] = static_cast<double>(before.discovery_counts().watches);
+    sample.figures["discovery_calls_per_reload"] = static_cast<double>(after.discovery_counts().calls) / each;
+    sample.figures["discovery_bytes_out_per_reload"] =
+        static_cast<double>(after.discovery_counts().bytes_out) / each;
     context.recorder.Add(std::move(sample));
     if (lost > 0) CheckServed("during a reload", calls.counts, /*most_unserved=*/0);
   }
@@ -171,7 +172,7 @@
 
   static std::vector<net::Tcp::endpoint> ManagementEndpoints(const RealSidecars& sidecars) {
     std::vector<net::Tcp::endpoint> endpoints;
-    for (const auto& sidecar : sidecars.all()) endpoints.push_back(sidecar->management());
+    for (const auto& sidecar : sidecars.all()) endpoints.push_back(sidecar->management_address());
     return endpoints;
   }
 
--- a/scale/remote_servers.hpp
+++ b/scale/remote_servers.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "control.hpp"
-#include "server_stand_in.hpp"
+#include "fake_server.hpp"
 
 namespace merlinrun::scale {
 
--- a/scale/server_process.cpp
+++ b/scale/server_process.cpp
@@ -8,9 +8,9 @@
 
 #include "address.hpp"
 #include "control.hpp"
+#include "fake_server.hpp"
 #include "latency.hpp"
 #include "net/discovery.hpp"
-#include "server_stand_in.hpp"
 
 namespace merlinrun::scale {
 namespace {
@@ -42,7 +42,7 @@
       if (!address) throw std::runtime_error("no valid address in \"onward\"");
       settings.onward.push_back(*address);
     }
-    servers_.push_back(std::make_unique<ServerStandIn>(io_, std::move(settings)));
+    servers_.push_back(std::make_unique<FakeServer>(io_, std::move(settings)));
     return {{"address", AddressText(servers_.back()->address())}};
   }
 
@@ -69,7 +69,7 @@
 
   asio::io_context io_;
   const std::shared_ptr<LatencyHistogram> lateness_ = std::make_shared<LatencyHistogram>();
-  std::vector<std::unique_ptr<ServerStandIn>> servers_;
+  std::vector<std::unique_ptr<FakeServer>> servers_;
   CommandLoop commands_;
 };
 
--- a/scale/service.hpp
+++ b/scale/service.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "discovery_stand_in.hpp"
-#include "server_stand_in.hpp"
+#include "fake_server.hpp"
 
 namespace merlinrun::scale {
 
@@ -20,25 +20,25 @@
   Service(net::asio::io_context& io, std::vector<net::Tcp::endpoint> addresses);
 
   // The address of discovery.
-  net::Tcp::endpoint discovery() const { return discovery_.addresses().front(); }
-  const std::vector<net::Tcp::endpoint>& addresses() const { return addresses_; }  // of the servers
-  const DiscoveryStandIn::Counts& counts() const { return discovery_.counts(); }   // of discovery
+  net::Tcp::endpoint discovery_address() const { return discovery_.addresses().front(); }
+  const std::vector<net::Tcp::endpoint>& addresses() const { return addresses_; }           // of the servers
+  const DiscoveryStandIn::Counts& discovery_counts() const { return discovery_.counts(); }  // of discovery
   // Sends the changed entries to all watches.
   void Change(const std::vector<Entry>& entries) { discovery_.Change(entries); }
   // The servers that run in this process.
-  const std::vector<std::unique_ptr<ServerStandIn>>& servers() const { return servers_; }
+  const std::vector<std::unique_ptr<FakeServer>>& servers() const { return servers_; }
 
  private:
-  std::vector<std::unique_ptr<ServerStandIn>> servers_;
+  std::vector<std::unique_ptr<FakeServer>> servers_;
   std::vector<net::Tcp::endpoint> addresses_;
   DiscoveryStandIn discovery_;
 };
 
 // Returns the entries that discovery lists for servers at these addresses.
-std::vector<Entry> Listed(const std::vector<net::Tcp::endpoint>& addresses);
+std::vector<Entry> MakeEntries(const std::vector<net::Tcp::endpoint>& addresses);
 
 // Returns `count` copies of the settings, with consecutive seeds that begin with the seed of `settings`.
-std::vector<ServerSettings> Alike(const ServerSettings& settings, int count);
+std::vector<ServerSettings> ReplicateSettings(const ServerSettings& settings, int count);
 
 }  // namespace merlinrun::scale
 
--- a/scale/sidecars.cpp
+++ b/scale/sidecars.cpp
@@ -27,7 +27,7 @@
     Needs requirements;
     // For each sidecar, this process has the descriptors of RealSidecar, the watch and the connections of two
     // callers. The server processes have the other ends of the direct calls and of the sidecars' calls.
-    requirements.descriptors = 128 + servers + max_count * (8 + 2 * servers + 4 * plan_.Open(rate_));
+    requirements.descriptors = 128 + servers + max_count * (8 + 2 * servers + 4 * plan_.MaxOpenCalls(rate_));
     requirements.ports = servers + 1 + max_count + processes;
     requirements.processes = max_count + processes;
     // The lists are short, so a sidecar needs little memory.
@@ -36,7 +36,7 @@
   }
 
   void Run(Context& context) override {
-    ForEachReading(context, counts_, [&](std::int64_t count, int repeat, std::uint64_t seed) {
+    ForEachMeasurement(context, counts_, [&](std::int64_t count, int repeat, std::uint64_t seed) {
       Measure(context, count, repeat, seed);
     });
   }
@@ -45,16 +45,16 @@
   void Measure(Context& context, std::int64_t count, int repeat, std::uint64_t seed) const {
     net::asio::io_context io(1);
     RemoteServers servers(plan_.server_processes, context.scratch);
-    const Service service(io, servers.Open(Alike(plan_.ServerWithSeed(seed), servers_)));
+    const Service service(io, servers.Open(ReplicateSettings(plan_.ServerWithSeed(seed), servers_)));
     RealSidecars sidecars(io, context, seed);
     Ways paths;
-    for (const net::Tcp::endpoint& address : sidecars.Add(count, service.discovery())) {
+    for (const net::Tcp::endpoint& address : sidecars.Add(count, service.discovery_address())) {
       paths.direct.push_back(service.addresses());
       paths.through.push_back({address});
     }
     if (context.should_stop()) return;
     const auto sidecar_count = static_cast<double>(count);
-    const DiscoveryStandIn::Counts start = service.counts();
+    const DiscoveryStandIn::Counts start = service.discovery_counts();
     Sample sample{"sidecars", {{"sidecars", sidecar_count}}, {}, repeat};
     sample.figures["discovery_watches"] = static_cast<double>(start.watches);
     sample.figures["discovery_calls_per_start"] = static_cast<double>(start.calls) / sidecar_count;
--- a/tests/scale/caller_test.cpp
+++ b/tests/scale/caller_test.cpp
@@ -8,7 +8,7 @@
 
 #include "net/loopback.hpp"
 #include "net/validate.hpp"
-#include "scale/server_stand_in.hpp"
+#include "scale/fake_server.hpp"
 
 namespace merlinrun::scale {
 namespace {
@@ -31,7 +31,7 @@
 };
 
 TEST_F(CallerTest, SendsCallsOnScheduleWhileNoneIsAnswered) {
-  ServerStandIn stalled(io, {.cores = 1, .queue = 1000, .service_time = std::chrono::hours(1)});
+  FakeServer stalled(io, {.cores = 1, .queue = 1000, .service_time = std::chrono::hours(1)});
   Caller caller(io, {stalled.address()}, EvenlySpaced(200));
   caller.Start(500ms);
   ASSERT_TRUE(RunUntil(io, [&] { return stalled.open_requests() == 99; }));
@@ -44,12 +44,12 @@
 
 // If the event loop stalls, the latency of each call that was due meanwhile includes the delay.
 TEST_F(CallerTest, LatencyOfEachCallDueDuringAStallIncludesTheStall) {
-  ServerStandIn server(io, {.service_time = std::chrono::microseconds(0)});
+  FakeServer server(io, {.service_time = std::chrono::microseconds(0)});
   Caller caller(io, {server.address()}, EvenlySpaced(100));
   caller.Start(400ms);
   std::this_thread::sleep_for(800ms);
   ASSERT_TRUE(RunUntil(io, [&] { return caller.done(); }));
-  const CallResults results = caller.Take();
+  const CallResults results = caller.TakeResults();
   EXPECT_EQ(results.counts.served, 39u);
   EXPECT_EQ(results.latency.count(), 39u);
   EXPECT_GT(results.latency.QuantileMs(0), 395);
@@ -58,10 +58,10 @@
 }
 
 TEST_F(CallerTest, CountsEachCallOnceByItsOutcome) {
-  ServerStandIn serving(io, {.service_time = std::chrono::microseconds(0)});
-  ServerStandIn draining(io, {});
+  FakeServer serving(io, {.service_time = std::chrono::microseconds(0)});
+  FakeServer draining(io, {});
   draining.Drain();
-  ServerStandIn failing(io, {.onward = {draining.address()}});
+  FakeServer failing(io, {.onward = {draining.address()}});
   ScriptedServer resetting(io, [](Peer& peer) { peer.Reset(); });
   Caller caller(io, {serving.address(), draining.address(), failing.address(), resetting.address},
                 EvenlySpaced(500));
@@ -91,7 +91,7 @@
 }
 
 TEST_F(CallerTest, SendsNoMoreCallsAfterStopAndCompletesTheOpenOnes) {
-  ServerStandIn server(io, {});
+  FakeServer server(io, {});
   Caller caller(io, {server.address()}, EvenlySpaced(200));
   caller.Start(1h);
   ASSERT_TRUE(RunUntil(io, [&] { return caller.results().counts.sent == 20; }));
--- a/tests/scale/server_stand_in_test.cpp
+++ b/tests/scale/fake_server_test.cpp
@@ -1,4 +1,4 @@
-#include "scale/server_stand_in.hpp"
+#include "scale/fake_server.hpp"
 
 #include <gtest/gtest.h>
 
@@ -22,10 +22,10 @@
   return "GET /api HTTP/1.1\r\nHost: o\r\n" + headers + "\r\n";
 }
 
-class ServerStandInTest : public ::testing::Test {
+class FakeServerTest : public ::testing::Test {
  protected:
   // Sends a request on a new connection.
-  std::shared_ptr<Peer> SendRequest(const ServerStandIn& server, const std::string& text = Get()) {
+  std::shared_ptr<Peer> SendRequest(const FakeServer& server, const std::string& text = Get()) {
     peers.push_back(Connect(io, server.address()));
     peers.back()->Write(text);
     return peers.back();
@@ -36,7 +36,7 @@
     return peer->received;
   }
   // Sends this number of requests at once and returns how many of them are declined.
-  int CountDeclined(ServerStandIn& server, int requests) {
+  int CountDeclined(FakeServer& server, int requests) {
     for (int i = 0; i < requests; ++i) SendRequest(server);
     EXPECT_TRUE(RunUntil(io, [&] { return server.counts().taken == static_cast<std::uint64_t>(requests); }));
     EXPECT_EQ(server.open_requests() + server.counts().declined, static_cast<std::uint64_t>(requests));
@@ -47,8 +47,8 @@
   std::vector<std::shared_ptr<Peer>> peers;
 };
 
-TEST_F(ServerStandInTest, ReportsItsLoadInTheFormatThatTheSidecarParses) {
-  ServerStandIn server(io, {.body_size = 10});
+TEST_F(FakeServerTest, ReportsItsLoadInTheFormatThatTheSidecarParses) {
+  FakeServer server(io, {.body_size = 10});
   const std::string answer = AwaitAnswer(SendRequest(server));
   EXPECT_EQ(answer.substr(0, 15), "HTTP/1.1 200 OK");
   const std::string name = "Srv-Load: ";
@@ -61,8 +61,8 @@
   EXPECT_EQ(server.counts().served, 1u);
 }
 
-TEST_F(ServerStandInTest, ServesSeveralRequestsOnOneConnection) {
-  ServerStandIn server(io, {.service_time = std::chrono::microseconds(0)});
+TEST_F(FakeServerTest, ServesSeveralRequestsOnOneConnection) {
+  FakeServer server(io, {.service_time = std::chrono::microseconds(0)});
   const auto peer = SendRequest(server);
   for (int answers = 1; answers < 5; ++answers) {
     ASSERT_TRUE(RunUntil(io, [&] { return peer->requests() == answers; }));
@@ -71,31 +71,31 @@
   EXPECT_TRUE(RunUntil(io, [&] { return server.counts().served == 5; }));
 }
 
-TEST_F(ServerStandInTest, DeclinesRequestsBeyondItsCoresAndQueue) {
-  ServerStandIn server(io, {.cores = 2, .queue = 3, .service_time = kForever});
+TEST_F(FakeServerTest, DeclinesRequestsBeyondItsCoresAndQueue) {
+  FakeServer server(io, {.cores = 2, .queue = 3, .service_time = kForever});
   EXPECT_EQ(CountDeclined(server, 8), 3);
 }
 
-TEST_F(ServerStandInTest, HasLessCapacityWhileCold) {
-  ServerStandIn server(io, {.cores = 2,
-                            .queue = 6,
-                            .service_time = kForever,
-                            .cold_speed = 0.25,
-                            .warm_up_time = kForever * 1000});
+TEST_F(FakeServerTest, HasLessCapacityWhileCold) {
+  FakeServer server(io, {.cores = 2,
+                         .queue = 6,
+                         .service_time = kForever,
+                         .cold_speed = 0.25,
+                         .warm_up_time = kForever * 1000});
   EXPECT_EQ(CountDeclined(server, 8), 6);
 }
 
-TEST_F(ServerStandInTest, HasFullCapacityOnceWarm) {
-  ServerStandIn server(io, {.cores = 2,
-                            .queue = 6,
-                            .service_time = kForever,
-                            .cold_speed = 0.25,
-                            .warm_up_time = std::chrono::microseconds(1)});
+TEST_F(FakeServerTest, HasFullCapacityOnceWarm) {
+  FakeServer server(io, {.cores = 2,
+                         .queue = 6,
+                         .service_time = kForever,
+                         .cold_speed = 0.25,
+                         .warm_up_time = std::chrono::microseconds(1)});
   EXPECT_EQ(CountDeclined(server, 8), 0);
 }
 
-TEST_F(ServerStandInTest, CompletesOpenRequestsAndDeclinesNewOnesWhileDraining) {
-  ServerStandIn server(io, {.service_time = std::chrono::milliseconds(300)});
+TEST_F(FakeServerTest, CompletesOpenRequestsAndDeclinesNewOnesWhileDraining) {
+  FakeServer server(io, {.service_time = std::chrono::milliseconds(300)});
   const auto before = SendRequest(server);
   ASSERT_TRUE(RunUntil(io, [&] { return server.open_requests() == 1; }));
   server.Drain();
@@ -105,8 +105,8 @@
   EXPECT_EQ(AwaitAnswer(before).substr(0, 12), "HTTP/1.1 200");
 }
 
-TEST_F(ServerStandInTest, DeclinesARequestThatExpiresInTheQueueAndRejectsOneWithoutId) {
-  ServerStandIn server(io, {.cores = 1, .service_time = std::chrono::seconds(1)});
+TEST_F(FakeServerTest, DeclinesARequestThatExpiresInTheQueueAndRejectsOneWithoutId) {
+  FakeServer server(io, {.cores = 1, .service_time = std::chrono::seconds(1)});
   SendRequest(server);
   const std::string late = AwaitAnswer(SendRequest(server, Get("Req-Id: b\r\nReq-Deadline: 0.01\r\n")));
   EXPECT_EQ(late.substr(0, 12), "HTTP/1.1 504");
@@ -116,14 +116,14 @@
 }
 
 // A chain of two fake servers and a scripted last one.
-class ChainTest : public ServerStandInTest {
+class ChainTest : public FakeServerTest {
  protected:
   // Sends the request to the first server and returns the request that the last one receives.
   std::string ReceivedAfterTwoHops(const std::string& text) {
     ScriptedServer last(io, Serves("ok"));
     const std::chrono::milliseconds service(20);
-    ServerStandIn second(io, {.service_time = service, .seed = 2, .onward = {last.address}});
-    ServerStandIn first(io, {.service_time = service, .seed = 1, .onward = {second.address()}});
+    FakeServer second(io, {.service_time = service, .seed = 2, .onward = {last.address}});
+    FakeServer first(io, {.service_time = service, .seed = 1, .onward = {second.address()}});
     EXPECT_EQ(AwaitAnswer(SendRequest(first, text)).substr(0, 12), "HTTP/1.1 200");
     EXPECT_EQ(first.counts().served, 1u);
     EXPECT_EQ(second.counts().served, 1u);
@@ -157,9 +157,9 @@
 }
 
 TEST_F(ChainTest, ARequestFailsIfTheNextServiceFails) {
-  ServerStandIn draining(io, {});
+  FakeServer draining(io, {});
   draining.Drain();
-  ServerStandIn first(io, {.onward = {draining.address()}});
+  FakeServer first(io, {.onward = {draining.address()}});
   EXPECT_EQ(AwaitAnswer(SendRequest(first)).substr(0, 12), "HTTP/1.1 500");
   EXPECT_EQ(first.counts().failed, 1u);
   EXPECT_EQ(first.open_requests(), 0u);
--- a/tests/scale/real_steps_test.cpp
+++ b/tests/scale/real_steps_test.cpp
@@ -193,8 +193,8 @@
 // Calls are sent to the sidecar only, which forwards them to the servers that discovery lists.
 TEST_F(RealStepsTest, ASidecarForwardsCallsToSeveralServersOfItsService) {
   asio::io_context io(1);
-  const Service service(io, Alike({}, 4));
-  RealSidecar sidecar({FENNELHOLLOW_PROGRAM, scratch, "n0", service.discovery(), 1});
+  const Service service(io, ReplicateSettings({}, 4));
+  RealSidecar sidecar({FENNELHOLLOW_PROGRAM, scratch, "n0", service.discovery_address(), 1});
   sidecar.AwaitReady(io);
   CallerSettings settings;
   settings.poisson = false;
@@ -223,7 +223,7 @@
 
 TEST(PairedRunTest, FailedCallsInvalidateTheMeasurement) {
   asio::io_context io(1);
-  Service service(io, Alike({}, 2));
+  Service service(io, ReplicateSettings({}, 2));
   service.servers().front()->Drain();
   CallerSettings settings;
   settings.calls_per_s = 100;
--- a/tests/scale/remote_servers_test.cpp
+++ b/tests/scale/remote_servers_test.cpp
@@ -56,7 +56,7 @@
 TEST_F(RemoteServersTest, ServeEachCallOnceAndReportTheirLateness) {
   RemoteServers servers(2, context.scratch);
   EXPECT_TRUE(servers.LatenessFigures().empty());
-  const auto addresses = servers.Open(Alike({}, 3));
+  const auto addresses = servers.Open(ReplicateSettings({}, 3));
   EXPECT_EQ(std::set<net::Tcp::endpoint>(addresses.begin(), addresses.end()).size(), 3u);
   Call(addresses, 30);
   EXPECT_EQ(servers.counts().taken, 30u);
@@ -69,27 +69,27 @@
 TEST_F(RemoteServersTest, CallTheNextService) {
   RemoteServers servers(2, context.scratch);
   ServerSettings first;
-  first.onward = servers.Open(Alike({}, 2));
+  first.onward = servers.Open(ReplicateSettings({}, 2));
   Call(servers.Open({first}, 1), 20);
   EXPECT_EQ(servers.counts().served, 40u);
 }
 
 TEST_F(RemoteServersTest, SidecarsWatchANewDiscoveryAddressAndApplyAChangeFromIt) {
   RemoteServers servers(1, context.scratch);
-  auto addresses = servers.Open(Alike({}, 3));
-  const Entry third = Listed(addresses).back();
+  auto addresses = servers.Open(ReplicateSettings({}, 3));
+  const Entry third = MakeEntries(addresses).back();
   addresses.pop_back();
   const Service before(io, addresses);
   Service after(io, addresses);
   RealSidecars sidecars(io, context, 1, /*management=*/true);
-  ASSERT_EQ(sidecars.Add(2, before.discovery()).size(), 2u);
+  ASSERT_EQ(sidecars.Add(2, before.discovery_address()).size(), 2u);
   std::vector<net::Tcp::endpoint> management_addresses;
-  for (const auto& sidecar : sidecars.all()) management_addresses.push_back(sidecar->management());
-  EXPECT_EQ(after.counts().watches, 0u);
+  for (const auto& sidecar : sidecars.all()) management_addresses.push_back(sidecar->management_address());
+  EXPECT_EQ(after.discovery_counts().watches, 0u);
 
-  sidecars.Reload(after.discovery());
+  sidecars.Reload(after.discovery_address());
   ASSERT_TRUE(RunUntil(
-      io, [&] { return after.counts().watches == 2; }, kTimeout));
+      io, [&] { return after.discovery_counts().watches == 2; }, kTimeout));
   int notified = 0;
   const KnownServersWatch watch(io, management_addresses, 3, [&] { ++notified; });
   RunFor(io, std::chrono::milliseconds(100));
@@ -99,7 +99,7 @@
       io, [&] { return notified == 2; }, kTimeout));
   RunFor(io, std::chrono::milliseconds(100));
   EXPECT_EQ(notified, 2);  // once for each sidecar
-  EXPECT_EQ(before.counts().watches, 0u);
+  EXPECT_EQ(before.discovery_counts().watches, 0u);
 }
 
 }  // namespace
