--- a/scale/call_rate.cpp
+++ b/scale/call_rate.cpp
@@ -20,12 +20,12 @@
         sidecars_(parameters.Integer("sidecars", 1, 1, 20)),
         plan_(CallPlan::Read(parameters)) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     const auto rate = static_cast<double>(*std::max_element(rates_.begin(), rates_.end()));
     const auto servers = static_cast<std::size_t>(servers_);
     const auto sidecars = static_cast<std::size_t>(sidecars_);
     const auto processes = static_cast<std::size_t>(plan_.server_processes);
-    Needs requirements;
+    ResourceRequirements requirements;
     // An open call, direct or through a sidecar, takes one descriptor in this process and one in a server
     // process. A call through a sidecar takes two more there. A sidecar also keeps some for each server.
     requirements.descriptors = 128 + sidecars * (8 * servers + 6 * plan_.MaxOpenCalls(rate));
@@ -48,7 +48,7 @@
     RemoteServers servers(plan_.server_processes, context.scratch);
     const Service service(io, servers.Open(ReplicateSettings(plan_.ServerWithSeed(seed), servers_)));
     RealSidecars sidecars(io, context, seed);
-    Ways paths;
+    CallPaths paths;
     for (const net::Tcp::endpoint& address : sidecars.Add(sidecars_, service.discovery_address())) {
       paths.direct.push_back(service.addresses());
       paths.through.push_back({address});
--- a/scale/capacity_input.cpp
+++ b/scale/capacity_input.cpp
@@ -25,8 +25,8 @@
       TableReader entry(file, prefix, *node.as_table());
       if (!entry.Has("value")) entry.Reject("value", "is missing");
       targets.values[name] = entry.Number("value", 0, -kMaxValue, kMaxValue);
-      entry.Word("unit", "");
-      reason = entry.Word("reason", "");
+      entry.String("unit", "");
+      reason = entry.String("reason", "");
       entry.RejectUnusedKeys();
     } else {
       targets.values[name] = reader.Number(name, 0, -kMaxValue, kMaxValue);
@@ -76,9 +76,9 @@
       entry.Reject("when", "must be ordinary, worst or day");
     }
     row.formula = entry.RequiredString("formula");
-    row.budget = entry.Word("budget", "");
-    row.at = entry.Word("at", "");
-    row.mechanism = entry.Word("mechanism", "");
+    row.budget = entry.String("budget", "");
+    row.at = entry.String("at", "");
+    row.mechanism = entry.String("mechanism", "");
     entry.RejectUnusedKeys();
     roles.rows.push_back(row);
   }
--- a/scale/chain.cpp
+++ b/scale/chain.cpp
@@ -74,12 +74,12 @@
         rate_(parameters.Number("calls_per_s", 50, 1, 1000)),
         plan_(CallPlan::Read(parameters)) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     const auto depth = static_cast<std::size_t>(*std::max_element(depths_.begin(), depths_.end()));
     const auto width = static_cast<std::size_t>(width_);
     const auto processes = static_cast<std::size_t>(plan_.server_processes);
     const std::size_t sidecars = 1 + width * (depth - 1);
-    Needs requirements;
+    ResourceRequirements requirements;
     requirements.processes = sidecars + processes;
     requirements.ports = depth * (2 * width + 1) + requirements.processes;
     // Enough for one process that contains all servers: it has both ends of each open call at every hop, in
--- a/scale/change_rate.cpp
+++ b/scale/change_rate.cpp
@@ -18,7 +18,7 @@
         fleets_(parameters.Integer("processes", 4, 1, 64)),
         seconds_(parameters.Number("seconds", 8, 0.5, 600)) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     return DiscoveryTestBed::Requirements({listed_, regions_, fleets_}, sidecars_);
   }
 
--- a/scale/change_size.cpp
+++ b/scale/change_size.cpp
@@ -20,7 +20,7 @@
         changes_(parameters.Integer("changes", 50, 1, 10'000)),
         bulk_(parameters.Integer("bulk", 1000, 1, 50'000)) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     return DiscoveryTestBed::Requirements({*std::max_element(listed_.begin(), listed_.end())}, sidecars_);
   }
 
--- a/scale/control.cpp
+++ b/scale/control.cpp
@@ -33,7 +33,7 @@
       .count();
 }
 
-Part::Part(const char* kind, const std::filesystem::path& log)
+WorkerProcess::WorkerProcess(const char* kind, const std::filesystem::path& log)
     : kind_(kind), acceptor_(io_, Tcp::endpoint(asio::ip::address_v4::loopback(), 0)), socket_(io_) {
   Child::Options options;
   options.program = ExecutablePath();
@@ -47,7 +47,7 @@
 }
 
 // Waits in short intervals, to notice soon if the process has exited.
-void Part::AwaitInput(int descriptor, std::chrono::steady_clock::time_point end) const {
+void WorkerProcess::AwaitInput(int descriptor, std::chrono::steady_clock::time_point end) const {
   for (;;) {
     pollfd wait{descriptor, POLLIN, 0};
     const int ready = ::poll(&wait, 1, 100);
@@ -59,13 +59,13 @@
   }
 }
 
-void Part::Send(const nlohmann::json& command) {
+void WorkerProcess::Send(const nlohmann::json& command) {
   ErrorCode error;
   asio::write(socket_, asio::buffer(command.dump() + "\n"), error);
   if (error) throw std::runtime_error(kind_ + ": " + error.message());
 }
 
-nlohmann::json Part::Receive(std::chrono::milliseconds timeout) {
+nlohmann::json WorkerProcess::Receive(std::chrono::milliseconds timeout) {
   const auto end = std::chrono::steady_clock::now() + timeout;
   std::array<char, 65536> chunk;
   std::size_t searched = 0;
--- a/scale/control.hpp
+++ b/scale/control.hpp
@@ -29,16 +29,16 @@
 Micros SteadyNow();
 
 // A worker process: a part of this program that runs in a child process and executes commands.
-class Part {
+class WorkerProcess {
  public:
   // Throws std::runtime_error if the process cannot be started or does not connect in time.
-  Part(const char* kind, const std::filesystem::path& log);
+  WorkerProcess(const char* kind, const std::filesystem::path& log);
 
   // Send() sends a command, and Receive() returns the reply to the earliest command without one. Both throw
   // std::runtime_error: if the process has exited, does not reply in time, or replies with an error.
   void Send(const nlohmann::json& command);
   nlohmann::json Receive(std::chrono::milliseconds timeout = std::chrono::minutes(2));
-  nlohmann::json Ask(const nlohmann::json& command) {
+  nlohmann::json Execute(const nlohmann::json& command) {
     Send(command);
     return Receive();
   }
--- a/scale/discovery_rig.cpp
+++ b/scale/discovery_rig.cpp
@@ -39,11 +39,11 @@
                                    {"queue", options.queue}});
   addresses_ = opened.at("addresses").get<std::vector<std::string>>();
   for (std::int64_t i = 0; i < options.fleets; ++i)
-    fleets_.push_back(std::make_unique<Part>(kFleetProcess, context.scratch / "fleet.log"));
+    fleets_.push_back(std::make_unique<WorkerProcess>(kFleetProcess, context.scratch / "fleet.log"));
 }
 
-Needs DiscoveryTestBed::Requirements(const Options& options, std::int64_t sidecars) {
-  Needs requirements;
+ResourceRequirements DiscoveryTestBed::Requirements(const Options& options, std::int64_t sidecars) {
+  ResourceRequirements requirements;
   requirements.descriptors = static_cast<std::size_t>(sidecars + kOtherDescriptors);  // of discovery
   requirements.ports = static_cast<std::size_t>(options.regions + 1);  // and one for a control connection
   requirements.processes = static_cast<std::size_t>(options.fleets + 1);
@@ -76,7 +76,7 @@
 }
 
 void DiscoveryTestBed::RemoveSidecars(std::int64_t region) {
-  for (const auto& fleet : fleets_) fleet->Ask({{"do", "end"}, {"region", region}});
+  for (const auto& fleet : fleets_) fleet->Execute({{"do", "end"}, {"region", region}});
   sidecars_ -= std::exchange(sidecars_in_region_[region], 0);
 }
 
@@ -128,7 +128,7 @@
 std::int64_t DiscoveryTestBed::SumOverFleets(const std::string& name, bool trim) {
   std::int64_t sum = 0;
   for (const auto& fleet : fleets_)
-    sum += fleet->Ask({{"do", "status"}, {"trim", trim}}).at(name).get<std::int64_t>();
+    sum += fleet->Execute({{"do", "status"}, {"trim", trim}}).at(name).get<std::int64_t>();
   return sum;
 }
 
--- a/scale/discovery_rig.hpp
+++ b/scale/discovery_rig.hpp
@@ -41,7 +41,7 @@
   // Throws std::runtime_error if a process cannot be started.
   DiscoveryTestBed(Context& context, const Options& options);
 
-  static Needs Requirements(const Options& options, std::int64_t sidecars);
+  static ResourceRequirements Requirements(const Options& options, std::int64_t sidecars);
 
   // The discovery addresses by region. Setting them affects sidecars that are added or reloaded afterwards.
   const std::vector<std::string>& addresses() const { return addresses_; }
@@ -61,7 +61,7 @@
   // Sleeps while the processes run. Throws Interrupted.
   void Wait(double seconds);
 
-  nlohmann::json SendCommand(const nlohmann::json& command) { return discovery_.Ask(command); }
+  nlohmann::json SendCommand(const nlohmann::json& command) { return discovery_.Execute(command); }
   // Applies a change to the list of servers, see "change" in discovery_process.hpp. Returns its generation.
   std::int64_t ChangeServers(const nlohmann::json& change);
   nlohmann::json DiscoveryCounts(bool trim = false) {
@@ -88,8 +88,8 @@
 
   Context& context_;
   const Options options_;
-  Part discovery_;
-  std::vector<std::unique_ptr<Part>> fleets_;
+  WorkerProcess discovery_;
+  std::vector<std::unique_ptr<WorkerProcess>> fleets_;
   std::vector<std::string> addresses_;  // by region
   std::map<std::int64_t, std::int64_t> sidecars_in_region_;
   std::int64_t sidecars_ = 0;
--- a/scale/fan_out.cpp
+++ b/scale/fan_out.cpp
@@ -38,7 +38,7 @@
         burst_s_(parameters.Number("burst_s", 1.5, 0.001, 60)),
         idle_s_(parameters.Number("idle_s", 6, 0.1, 600)) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     return RelayedTestBed::Requirements({listed_, 1, fleets_}, relays_, watches_);
   }
 
--- a/scale/hollow_and_real.cpp
+++ b/scale/hollow_and_real.cpp
@@ -57,21 +57,21 @@
  private:
   void StartSidecars(std::int64_t count, const std::string& discovery, std::int64_t generation,
                      std::uint64_t seed) {
-    fleet_.Ask({{"do", "add"}, {"sidecars", count}, {"address", discovery}, {"seed", seed}});
+    fleet_.Execute({{"do", "add"}, {"sidecars", count}, {"address", discovery}, {"seed", seed}});
     started_ += count;
     const auto end = std::chrono::steady_clock::now() + kStartTimeout;
     const json request = {{"do", "status"}, {"generation", generation}};
-    while (fleet_.Ask(request).at("at").get<std::int64_t>() < started_) {
+    while (fleet_.Execute(request).at("at").get<std::int64_t>() < started_) {
       if (std::chrono::steady_clock::now() > end)
         throw std::runtime_error("simulated sidecars did not receive the list in time");
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
   }
   std::int64_t ResidentBytes() {
-    return fleet_.Ask({{"do", "status"}, {"trim", true}}).at("rss_bytes").get<std::int64_t>();
+    return fleet_.Execute({{"do", "status"}, {"trim", true}}).at("rss_bytes").get<std::int64_t>();
   }
 
-  Part fleet_;
+  WorkerProcess fleet_;
   const std::int64_t sidecars_;
   std::int64_t started_ = 0;
   std::int64_t cpu_before_ = 0;
@@ -110,10 +110,10 @@
         changes_per_s_(parameters.Number("changes_per_s", 25, 0.1, 1000)),
         idle_s_(parameters.Number("idle_s", 6, 0.1, 600)) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     const auto max_listed = static_cast<double>(*std::max_element(listed_.begin(), listed_.end()));
     const auto simulated = static_cast<std::size_t>(simulated_);
-    Needs requirements;
+    ResourceRequirements requirements;
     requirements.descriptors = simulated + 64;  // of discovery, and as many of a fleet
     requirements.ports = 3;                     // a control connection, discovery and the sidecar
     requirements.processes = 2;
@@ -138,15 +138,15 @@
  private:
   void Measure(Context& context, SidecarsUnderTest& sidecars_under_test, std::int64_t listed, bool real,
                int repeat) const {
-    Part discovery(kDiscoveryProcess, context.scratch / "discovery.log");
-    const json opened = discovery.Ask({{"do", "open"}, {"listed", listed}});
+    WorkerProcess discovery(kDiscoveryProcess, context.scratch / "discovery.log");
+    const json opened = discovery.Execute({{"do", "open"}, {"listed", listed}});
     sidecars_under_test.Start(opened.at("addresses").at(0).get<std::string>(),
                               opened.at("generation").get<std::int64_t>(),
                               context.seed + static_cast<std::uint64_t>(repeat));
     const Micros started_at = SteadyNow();
     WaitFor(context, kSettleTime);
     const std::int64_t start_cpu = sidecars_under_test.cpu_us();
-    const json counts = discovery.Ask({{"do", "counts"}});
+    const json counts = discovery.Execute({{"do", "counts"}});
     const std::int64_t memory = sidecars_under_test.memory_bytes();
 
     const Micros idle_from = SteadyNow();
@@ -188,10 +188,10 @@
           end - std::chrono::steady_clock::now(), std::chrono::milliseconds(100)));
   }
   // Drains one server after another and brings it up again, each change in an object of its own.
-  void ApplyChanges(const Context& context, Part& discovery, std::int64_t listed) const {
+  void ApplyChanges(const Context& context, WorkerProcess& discovery, std::int64_t listed) const {
     const auto from = std::chrono::steady_clock::now();
     for (std::int64_t i = 0; i < changes_ && !context.should_stop(); ++i) {
-      discovery.Ask(
+      discovery.Execute(
           {{"do", "change"}, {"first", i / 2 % listed}, {"lifecycle", i % 2 == 0 ? "draining" : "up"}});
       const std::chrono::duration<double> due(static_cast<double>(i + 1) / changes_per_s_);
       WaitFor(context, from + due - std::chrono::steady_clock::now());
--- a/scale/list_size.cpp
+++ b/scale/list_size.cpp
@@ -17,7 +17,7 @@
         sidecars_(parameters.Integer("sidecars", 20, 1, 1000)),
         idle_s_(parameters.Number("idle_s", 6, 0.1, 600)) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     return DiscoveryTestBed::Requirements({*std::max_element(listed_.begin(), listed_.end())}, sidecars_ + 1);
   }
 
--- a/scale/paired_run.cpp
+++ b/scale/paired_run.cpp
@@ -23,9 +23,9 @@
 
 class Callers {
  public:
-  Callers(net::asio::io_context& io, const std::vector<Ways::Targets>& targets, CallerSettings settings)
+  Callers(net::asio::io_context& io, const std::vector<CallPaths::Targets>& targets, CallerSettings settings)
       : io_(io) {
-    for (const Ways::Targets& caller_targets : targets) {
+    for (const CallPaths::Targets& caller_targets : targets) {
       callers_.push_back(std::make_unique<Caller>(io, caller_targets, settings));
       ++settings.seed;
     }
@@ -107,7 +107,7 @@
   return figures;
 }
 
-PairedResult RunPaired(net::asio::io_context& io, const Ways& paths, const CallerSettings& settings,
+PairedResult RunPaired(net::asio::io_context& io, const CallPaths& paths, const CallerSettings& settings,
                        const PairedPlan& plan, const std::function<std::int64_t()>& cpu_us,
                        const std::function<bool()>& should_stop) {
   PairedResult result;
--- a/scale/paired_run.hpp
+++ b/scale/paired_run.hpp
@@ -29,7 +29,7 @@
 };
 
 // The targets of each caller, for direct calls and for calls through sidecars.
-struct Ways {
+struct CallPaths {
   using Targets = std::vector<net::Tcp::endpoint>;
   std::vector<Targets> direct;
   std::vector<Targets> through;
@@ -57,7 +57,7 @@
 // Callers of both paths have the same schedules: the n-th caller of each path uses the settings' seed + n.
 // Throws as CheckServed() does for each path. Returns early, with fewer calls, once `should_stop` returns
 // true.
-PairedResult RunPaired(net::asio::io_context& io, const Ways& paths, const CallerSettings& settings,
+PairedResult RunPaired(net::asio::io_context& io, const CallPaths& paths, const CallerSettings& settings,
                        const PairedPlan& plan, const std::function<std::int64_t()>& cpu_us,
                        const std::function<bool()>& should_stop);
 
--- a/scale/play.cpp
+++ b/scale/play.cpp
@@ -26,7 +26,9 @@
     options_.must_subscribe = parameters.Flag("must_subscribe", false);
   }
 
-  Needs Requires() const override { return RelayedTestBed::Requirements(options_, relays_, sidecars_); }
+  ResourceRequirements Requirements() const override {
+    return RelayedTestBed::Requirements(options_, relays_, sidecars_);
+  }
 
   void Run(Context& context) override {
     MeasureEach(context, sidecars_, [&](std::int64_t sidecars, int repeat) {
--- a/scale/relayed_rig.cpp
+++ b/scale/relayed_rig.cpp
@@ -24,12 +24,13 @@
   test_bed.SetAddresses(relay_tier->addresses());
 }
 
-Needs RelayedTestBed::Requirements(DiscoveryTestBed::Options options, const std::vector<std::int64_t>& relays,
-                                   const std::vector<std::int64_t>& sidecars) {
+ResourceRequirements RelayedTestBed::Requirements(DiscoveryTestBed::Options options,
+                                                  const std::vector<std::int64_t>& relays,
+                                                  const std::vector<std::int64_t>& sidecars) {
   const std::int64_t max_relays = *std::max_element(relays.begin(), relays.end());
   const std::int64_t max_sidecars = *std::max_element(sidecars.begin(), sidecars.end());
   options.regions = std::max(options.regions, max_relays);
-  Needs requirements = DiscoveryTestBed::Requirements(options, max_sidecars);
+  ResourceRequirements requirements = DiscoveryTestBed::Requirements(options, max_sidecars);
   if (max_relays == 0) return requirements;
   requirements.ports += static_cast<std::size_t>(max_relays);
   requirements.processes += static_cast<std::size_t>(max_relays);
--- a/scale/relayed_rig.hpp
+++ b/scale/relayed_rig.hpp
@@ -20,8 +20,9 @@
                  std::int64_t batch_ms);
 
   // The requirements at the maximum of `relays` and of `sidecars`; neither may be empty.
-  static Needs Requirements(DiscoveryTestBed::Options options, const std::vector<std::int64_t>& relays,
-                            const std::vector<std::int64_t>& sidecars);
+  static ResourceRequirements Requirements(DiscoveryTestBed::Options options,
+                                           const std::vector<std::int64_t>& relays,
+                                           const std::vector<std::int64_t>& sidecars);
 
   DiscoveryTestBed test_bed;
   std::optional<RelayTier> relay_tier;  // empty: the sidecars watch discovery itself
--- a/scale/reload.cpp
+++ b/scale/reload.cpp
@@ -58,12 +58,12 @@
         load_(parameters.Number("load_s", 1, 0.2, 600)),
         server_processes_(static_cast<int>(parameters.Integer("server_processes", 4, 1, 16))) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     const auto max_sidecars = static_cast<std::size_t>(*std::max_element(counts_.begin(), counts_.end()));
     const auto servers = static_cast<std::size_t>(servers_);
     const auto processes = static_cast<std::size_t>(server_processes_);
     const std::size_t open = CallPlan{}.MaxOpenCalls(rate_);
-    Needs requirements;
+    ResourceRequirements requirements;
     // Descriptors of this process for each sidecar: those of RealSidecar, both watches, the connection to the
     // management endpoint, and the caller's connections. The server processes have the other ends of the
     // sidecars' connections to servers.
--- a/scale/remote_servers.cpp
+++ b/scale/remote_servers.cpp
@@ -27,14 +27,14 @@
 RemoteServers::RemoteServers(int process_count, const std::filesystem::path& scratch) {
   for (int i = 0; i < process_count; ++i)
     processes_.push_back(
-        std::make_unique<Part>(kServerProcess, scratch / ("servers" + std::to_string(i) + ".log")));
+        std::make_unique<WorkerProcess>(kServerProcess, scratch / ("servers" + std::to_string(i) + ".log")));
 }
 
 std::vector<net::Tcp::endpoint> RemoteServers::Open(const std::vector<ServerSettings>& servers,
                                                     std::size_t first) {
   std::vector<net::Tcp::endpoint> addresses;
   for (std::size_t i = 0; i < servers.size(); ++i) {
-    const json answer = processes_[(first + i) % processes_.size()]->Ask(OpenCommand(servers[i]));
+    const json answer = processes_[(first + i) % processes_.size()]->Execute(OpenCommand(servers[i]));
     const auto address = net::ParseAddress(answer.at("address").get<std::string>());
     if (!address) throw std::runtime_error("a server process returned no valid address");
     addresses.push_back(*address);
@@ -45,7 +45,7 @@
 ServerCounts RemoteServers::counts() {
   ServerCounts sum;
   for (const auto& process : processes_) {
-    const json answer = process->Ask({{"do", "counts"}});
+    const json answer = process->Execute({{"do", "counts"}});
     ServerCounts counts;
     counts.taken = answer.at("taken").get<std::uint64_t>();
     counts.served = answer.at("served").get<std::uint64_t>();
@@ -60,7 +60,7 @@
 std::map<std::string, double> RemoteServers::LatenessFigures() {
   std::map<std::string, double> figures;
   for (const auto& process : processes_) {
-    const json answer = process->Ask({{"do", "counts"}});
+    const json answer = process->Execute({{"do", "counts"}});
     for (const char* name : {"late_p50_ms", "late_p99_ms"}) {
       if (!answer.contains(name)) continue;
       double& figure = figures[std::string("server_") + name];
--- a/scale/remote_servers.hpp
+++ b/scale/remote_servers.hpp
@@ -30,7 +30,7 @@
   std::map<std::string, double> LatenessFigures();
 
  private:
-  std::vector<std::unique_ptr<Part>> processes_;
+  std::vector<std::unique_ptr<WorkerProcess>> processes_;
 };
 
 }  // namespace merlinrun::scale
--- a/scale/scenario.cpp
+++ b/scale/scenario.cpp
@@ -76,7 +76,7 @@
 void CheckRequirements(const Scenario& scenario, const MachineLimits& machine) {
   const double memory_mb = std::min(scenario.memory_mb, machine.memory_mb);
   for (const PlannedStep& step : scenario.steps) {
-    const Needs requirements = step.step->Requires();
+    const ResourceRequirements requirements = step.step->Requirements();
     CheckRequirement(scenario, step, "descriptors", static_cast<double>(requirements.descriptors),
                      static_cast<double>(machine.descriptors));
     CheckRequirement(scenario, step, "ports", static_cast<double>(requirements.ports),
--- a/scale/sidecars.cpp
+++ b/scale/sidecars.cpp
@@ -20,11 +20,11 @@
         rate_(parameters.Number("calls_per_s", 10, 0.1, 1000)),
         plan_(CallPlan::Read(parameters)) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     const auto max_count = static_cast<std::size_t>(*std::max_element(counts_.begin(), counts_.end()));
     const auto servers = static_cast<std::size_t>(servers_);
     const auto processes = static_cast<std::size_t>(plan_.server_processes);
-    Needs requirements;
+    ResourceRequirements requirements;
     // For each sidecar, this process has the descriptors of RealSidecar, the watch and the connections of two
     // callers. The server processes have the other ends of the direct calls and of the sidecars' calls.
     requirements.descriptors = 128 + servers + max_count * (8 + 2 * servers + 4 * plan_.MaxOpenCalls(rate_));
@@ -47,7 +47,7 @@
     RemoteServers servers(plan_.server_processes, context.scratch);
     const Service service(io, servers.Open(ReplicateSettings(plan_.ServerWithSeed(seed), servers_)));
     RealSidecars sidecars(io, context, seed);
-    Ways paths;
+    CallPaths paths;
     for (const net::Tcp::endpoint& address : sidecars.Add(count, service.discovery_address())) {
       paths.direct.push_back(service.addresses());
       paths.through.push_back({address});
--- a/scale/step.hpp
+++ b/scale/step.hpp
@@ -24,7 +24,7 @@
 
 // Resources that a step uses at its peak, in this process and its children. Checked against the limits before
 // any step starts.
-struct Needs {
+struct ResourceRequirements {
   std::size_t descriptors = 0;  // open at a time in the process that has the most of them
   std::size_t ports = 0;        // listening ports of all processes
   std::size_t processes = 0;    // child processes at a time
@@ -58,7 +58,7 @@
                                std::int64_t max) = 0;
   virtual double Number(const std::string& key, double default_value, double min, double max) = 0;
   virtual bool Flag(const std::string& key, bool default_value) = 0;
-  virtual std::string Word(const std::string& key, const std::string& default_value) = 0;
+  virtual std::string String(const std::string& key, const std::string& default_value) = 0;
   // Returns the sizes to measure at, in the order of the file; there is at least one.
   virtual std::vector<std::int64_t> Integers(const std::string& key,
                                              const std::vector<std::int64_t>& default_value, std::int64_t min,
@@ -81,7 +81,7 @@
 class Step {
  public:
   virtual ~Step() = default;
-  virtual Needs Requires() const = 0;
+  virtual ResourceRequirements Requirements() const = 0;
   // Runs the step and records its samples. Throws std::runtime_error on failure. Samples that were recorded
   // before are kept.
   virtual void Run(Context& context) = 0;
--- a/scale/table_reader.cpp
+++ b/scale/table_reader.cpp
@@ -93,7 +93,7 @@
   return node->as_boolean()->get();
 }
 
-std::string TableReader::Word(const std::string& key, const std::string& default_value) {
+std::string TableReader::String(const std::string& key, const std::string& default_value) {
   const toml::node* node = Find(key);
   if (node == nullptr) return default_value;
   if (!node->is_string()) Reject(key, "must be a string");
@@ -117,7 +117,7 @@
 }
 
 std::string TableReader::RequiredString(const std::string& key) {
-  std::string value = Word(key, "");
+  std::string value = String(key, "");
   if (value.empty()) Reject(key, Has(key) ? "must not be empty" : "is missing");
   return value;
 }
--- a/scale/table_reader.hpp
+++ b/scale/table_reader.hpp
@@ -38,7 +38,7 @@
                        std::int64_t max) override;
   double Number(const std::string& key, double default_value, double min, double max) override;
   bool Flag(const std::string& key, bool default_value) override;
-  std::string Word(const std::string& key, const std::string& default_value) override;
+  std::string String(const std::string& key, const std::string& default_value) override;
   std::vector<std::int64_t> Integers(const std::string& key, const std::vector<std::int64_t>& default_value,
                                      std::int64_t min, std::int64_t max) override;
   [[noreturn]] void Reject(const std::string& key, const std::string& reason) const override;
--- a/scale/watches.cpp
+++ b/scale/watches.cpp
@@ -21,7 +21,7 @@
         between_s_(parameters.Number("between_s", 0.25, 0.001, 60)),
         idle_s_(parameters.Number("idle_s", 6, 0.1, 600)) {}
 
-  Needs Requires() const override {
+  ResourceRequirements Requirements() const override {
     return DiscoveryTestBed::Requirements({listed_, regions_, fleets_},
                                           *std::max_element(watches_.begin(), watches_.end()));
   }
--- a/tests/scale/discovery_rig_test.cpp
+++ b/tests/scale/discovery_rig_test.cpp
@@ -43,7 +43,7 @@
     return key == "seconds" || (key.ends_with("_s") && !key.ends_with("per_s")) ? 0.1 : default_value;
   }
   bool Flag(const std::string&, bool default_value) override { return default_value; }
-  std::string Word(const std::string&, const std::string& default_value) override { return default_value; }
+  std::string String(const std::string&, const std::string& default_value) override { return default_value; }
   std::vector<std::int64_t> Integers(const std::string& key, const std::vector<std::int64_t>& default_value,
                                      std::int64_t min, std::int64_t max) override {
     EXPECT_GE(default_value.front(), min) << key;
@@ -130,7 +130,7 @@
     const auto step = make(parameters);
     const bool relayed = parameters.keys_read.count("relays") > 0;
     const std::size_t fleets = parameters.keys_read.count("processes") > 0 ? 2 : 1;
-    EXPECT_EQ(step->Requires().processes, 1 + fleets + (relayed ? 2 : 0)) << kind;
+    EXPECT_EQ(step->Requirements().processes, 1 + fleets + (relayed ? 2 : 0)) << kind;
     step->Run(context);
     std::vector<double> sizes;
     std::vector<double> relays;
@@ -241,8 +241,8 @@
 // Counts the processes, listening ports and memory of the relays, at the maximum number of relays.
 TEST_F(RigTest, RelaysAddToTheRequirements) {
   const DiscoveryTestBed::Options options{300, 3, 4};
-  const Needs without = RelayedTestBed::Requirements(options, {0}, {100, 5000});
-  const Needs with = RelayedTestBed::Requirements(options, {0, 8, 2}, {100, 5000});
+  const ResourceRequirements without = RelayedTestBed::Requirements(options, {0}, {100, 5000});
+  const ResourceRequirements with = RelayedTestBed::Requirements(options, {0, 8, 2}, {100, 5000});
   EXPECT_EQ(with.processes, without.processes + 8);
   EXPECT_EQ(with.ports, without.ports + 5 + 8);  // 8 regions instead of 3, and the ports of 8 relays
   EXPECT_GT(with.memory_mb, without.memory_mb);
@@ -257,11 +257,11 @@
 }
 
 TEST_F(RigTest, AskThrowsForAFailedCommandAndAfterTheEndOfTheProcess) {
-  Part part(kDiscoveryProcess, {});
-  EXPECT_THROW(part.Ask({{"do", "counts"}}), std::runtime_error);  // no "open" before
-  EXPECT_NO_THROW(part.Ask({{"do", "open"}}));
+  WorkerProcess part(kDiscoveryProcess, {});
+  EXPECT_THROW(part.Execute({{"do", "counts"}}), std::runtime_error);  // no "open" before
+  EXPECT_NO_THROW(part.Execute({{"do", "open"}}));
   part.child().Signal(SIGKILL);
-  EXPECT_THROW(part.Ask({{"do", "counts"}}), std::runtime_error);
+  EXPECT_THROW(part.Execute({{"do", "counts"}}), std::runtime_error);
 }
 
 }  // namespace
--- a/tests/scale/fake_steps.hpp
+++ b/tests/scale/fake_steps.hpp
@@ -32,7 +32,7 @@
       : listed_(parameters.Integers("listed", {1, 10, 100, 1000}, 1, 14000)),
         share_(parameters.Number("share", 0.5, 0, 1)),
         bytes_(parameters.Number("bytes", 3, 0, 100)),
-        ending_(parameters.Word("ends", "")) {
+        ending_(parameters.String("ends", "")) {
     parameters.Flag("verbose", false);
     requirements_.descriptors = static_cast<std::size_t>(parameters.Integer("descriptors", 0, 0, 1LL << 40));
     requirements_.ports = static_cast<std::size_t>(parameters.Integer("ports", 0, 0, 1LL << 40));
@@ -41,7 +41,7 @@
     if (ending_ == "badly") parameters.Reject("ends", "must not end badly");
   }
 
-  Needs Requires() const override { return requirements_; }
+  ResourceRequirements Requirements() const override { return requirements_; }
 
   void Run(Context& context) override {
     ++steps_run;
@@ -65,7 +65,7 @@
   double share_;
   double bytes_;
   std::string ending_;
-  Needs requirements_;
+  ResourceRequirements requirements_;
 };
 
 inline std::unique_ptr<Step> MakeFake(Parameters& parameters) {
--- a/tests/scale/real_steps_test.cpp
+++ b/tests/scale/real_steps_test.cpp
@@ -43,7 +43,7 @@
     return it == numbers_.end() ? default_value : it->second;
   }
   bool Flag(const std::string&, bool default_value) override { return default_value; }
-  std::string Word(const std::string&, const std::string& default_value) override { return default_value; }
+  std::string String(const std::string&, const std::string& default_value) override { return default_value; }
   std::vector<std::int64_t> Integers(const std::string&, const std::vector<std::int64_t>&, std::int64_t,
                                      std::int64_t) override {
     return sizes_;
@@ -69,8 +69,8 @@
                               std::vector<std::int64_t> sizes) {
     FakeParameters parameters(std::move(numbers), std::move(sizes));
     const std::unique_ptr<Step> step = StepKinds().at(kind)(parameters);
-    EXPECT_GT(step->Requires().descriptors, 0u);
-    EXPECT_GT(step->Requires().processes, 0u);
+    EXPECT_GT(step->Requirements().descriptors, 0u);
+    EXPECT_GT(step->Requirements().processes, 0u);
     SampleRecorder recorder;
     Context context{recorder, 7, 1, FENNELHOLLOW_PROGRAM, {}, scratch, [this] { return stop; }};
     step->Run(context);
