--- a/scale/discovery_process.cpp
+++ b/scale/discovery_process.cpp
@@ -12,7 +12,7 @@
 
 #include "address.hpp"
 #include "control.hpp"
-#include "discovery_stand_in.hpp"
+#include "fake_discovery.hpp"
 #include "server_list.hpp"
 
 namespace merlinrun::scale {
@@ -70,14 +70,14 @@
     std::vector<Tcp::endpoint> listen;
     for (std::uint32_t i = 0; i < command.value("regions", 1U); ++i)
       listen.emplace_back(asio::ip::address_v4((127U << 24U) + (1U << 16U) + (i << 8U) + 1U), 0);
-    DiscoveryStandIn::Options options;
+    FakeDiscovery::Options options;
     options.service_time = command.value("service_time_us", options.service_time);
     options.service_time_per_entry =
         command.value("service_time_per_line_us", options.service_time_per_entry);
     options.queue = command.value("queue", options.queue);
     options.max_wait = command.value("longest_wait_us", options.max_wait);
     options.history = command.value("history", options.history);
-    discovery_ = std::make_unique<DiscoveryStandIn>(io_, listen, options);
+    discovery_ = std::make_unique<FakeDiscovery>(io_, listen, options);
     SetList(command.value("listed", std::int64_t{0}));
     json addresses = json::array();
     for (const Tcp::endpoint& address : discovery_->addresses()) addresses.push_back(AddressText(address));
@@ -148,7 +148,7 @@
 
   json Counts(bool trim) {
     json counts = OwnUsage(trim);
-    const DiscoveryStandIn::Counts& c = discovery_->counts();
+    const FakeDiscovery::Counts& c = discovery_->counts();
     counts.update({{"connections", c.connections},
                    {"calls", c.calls},
                    {"refused", c.refused},
@@ -167,7 +167,7 @@
   }
 
   asio::io_context io_;
-  std::unique_ptr<DiscoveryStandIn> discovery_;
+  std::unique_ptr<FakeDiscovery> discovery_;
   std::int64_t listed_ = 0;
   std::vector<std::pair<std::int64_t, Micros>> changes_;  // pairs of a generation and the time of the change
   double changes_per_s_ = 0;
--- a/scale/discovery_steps.hpp
+++ b/scale/discovery_steps.hpp
@@ -12,14 +12,14 @@
 std::unique_ptr<Step> MakeChangeSize(Parameters& parameters);
 std::unique_ptr<Step> MakeWatches(Parameters& parameters);
 std::unique_ptr<Step> MakeChangeRate(Parameters& parameters);
-std::unique_ptr<Step> MakePlayDiscoveryRestart(Parameters& parameters);
-std::unique_ptr<Step> MakePlayRack(Parameters& parameters);
-std::unique_ptr<Step> MakePlayRegionCut(Parameters& parameters);
-std::unique_ptr<Step> MakePlayRegionRestart(Parameters& parameters);
-std::unique_ptr<Step> MakePlayReload(Parameters& parameters);
-std::unique_ptr<Step> MakePlayRollout(Parameters& parameters);
-std::unique_ptr<Step> MakePlaySteady(Parameters& parameters);
-std::unique_ptr<Step> MakePlayZone(Parameters& parameters);
+std::unique_ptr<Step> MakeDiscoveryRestartExperiment(Parameters& parameters);
+std::unique_ptr<Step> MakeRackLossExperiment(Parameters& parameters);
+std::unique_ptr<Step> MakeRegionPartitionExperiment(Parameters& parameters);
+std::unique_ptr<Step> MakeRegionRestartExperiment(Parameters& parameters);
+std::unique_ptr<Step> MakeReloadExperiment(Parameters& parameters);
+std::unique_ptr<Step> MakeRolloutExperiment(Parameters& parameters);
+std::unique_ptr<Step> MakeSteadyExperiment(Parameters& parameters);
+std::unique_ptr<Step> MakeZoneLossExperiment(Parameters& parameters);
 
 }  // namespace merlinrun::scale
 
--- a/scale/discovery_rig.cpp
+++ b/scale/discovery_test_bed.cpp
@@ -1,4 +1,4 @@
-#include "discovery_rig.hpp"
+#include "discovery_test_bed.hpp"
 
 #include <algorithm>
 #include <chrono>
--- a/scale/discovery_rig.hpp
+++ b/scale/discovery_test_bed.hpp
@@ -1,6 +1,6 @@
 // The test bed of a step: the fake discovery and fleets of simulated sidecars, each in a process of its own.
-#ifndef MERLINRUN_SCALE_DISCOVERY_RIG_HPP_
-#define MERLINRUN_SCALE_DISCOVERY_RIG_HPP_
+#ifndef MERLINRUN_SCALE_DISCOVERY_TEST_BED_HPP_
+#define MERLINRUN_SCALE_DISCOVERY_TEST_BED_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -115,4 +115,4 @@
 
 }  // namespace merlinrun::scale
 
-#endif  // MERLINRUN_SCALE_DISCOVERY_RIG_HPP_
+#endif  // MERLINRUN_SCALE_DISCOVERY_TEST_BED_HPP_
--- a/scale/play.cpp
+++ b/scale/experiment.cpp
@@ -1,10 +1,10 @@
-#include "play.hpp"
+#include "experiment.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include "machine.hpp"
-#include "relayed_rig.hpp"
+#include "relayed_test_bed.hpp"
 #include "server_list.hpp"
 
 namespace merlinrun::scale {
--- a/scale/play.hpp
+++ b/scale/experiment.hpp
@@ -1,7 +1,7 @@
 // Steps that run an experiment: an event, such as the loss of a zone, happens to a fleet and its discovery,
 // and the time and cost until all changes have taken effect at all sidecars are measured.
-#ifndef MERLINRUN_SCALE_PLAY_HPP_
-#define MERLINRUN_SCALE_PLAY_HPP_
+#ifndef MERLINRUN_SCALE_EXPERIMENT_HPP_
+#define MERLINRUN_SCALE_EXPERIMENT_HPP_
 
 #include <cstdint>
 #include <map>
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "discovery_rig.hpp"
+#include "discovery_test_bed.hpp"
 #include "step.hpp"
 
 namespace merlinrun::scale {
@@ -42,4 +42,4 @@
 
 }  // namespace merlinrun::scale
 
-#endif  // MERLINRUN_SCALE_PLAY_HPP_
+#endif  // MERLINRUN_SCALE_EXPERIMENT_HPP_
--- a/scale/play_discovery_restart.cpp
+++ b/scale/experiment_discovery_restart.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "discovery_steps.hpp"
-#include "play.hpp"
+#include "experiment.hpp"
 
 namespace merlinrun::scale {
 namespace {
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-std::unique_ptr<Step> MakePlayDiscoveryRestart(Parameters& parameters) {
+std::unique_ptr<Step> MakeDiscoveryRestartExperiment(Parameters& parameters) {
   return MakeExperimentStep(
       "play_discovery_restart",
       [](Parameters& p) -> std::unique_ptr<Experiment> { return std::make_unique<DiscoveryRestart>(p); },
--- a/scale/play_region_cut.cpp
+++ b/scale/experiment_region_partition.cpp
@@ -1,6 +1,6 @@
 // A region is partitioned from discovery while servers change, and then healed.
 #include "discovery_steps.hpp"
-#include "play.hpp"
+#include "experiment.hpp"
 
 namespace merlinrun::scale {
 namespace {
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-std::unique_ptr<Step> MakePlayRegionCut(Parameters& parameters) {
+std::unique_ptr<Step> MakeRegionPartitionExperiment(Parameters& parameters) {
   return MakeExperimentStep(
       "play_region_cut",
       [](Parameters& p) -> std::unique_ptr<Experiment> { return std::make_unique<RegionPartition>(p); },
--- a/scale/play_region_restart.cpp
+++ b/scale/experiment_region_restart.cpp
@@ -1,6 +1,6 @@
 // All sidecars of a region are restarted at once without a list, while a server changes.
 #include "discovery_steps.hpp"
-#include "play.hpp"
+#include "experiment.hpp"
 
 namespace merlinrun::scale {
 namespace {
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::unique_ptr<Step> MakePlayRegionRestart(Parameters& parameters) {
+std::unique_ptr<Step> MakeRegionRestartExperiment(Parameters& parameters) {
   return MakeExperimentStep(
       "play_region_restart",
       [](Parameters& p) -> std::unique_ptr<Experiment> { return std::make_unique<RegionRestart>(p); },
--- a/scale/play_reload.cpp
+++ b/scale/experiment_reload.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "discovery_steps.hpp"
-#include "play.hpp"
+#include "experiment.hpp"
 
 namespace merlinrun::scale {
 namespace {
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-std::unique_ptr<Step> MakePlayReload(Parameters& parameters) {
+std::unique_ptr<Step> MakeReloadExperiment(Parameters& parameters) {
   return MakeExperimentStep("play_reload", CreateReload, parameters);
 }
 
--- a/scale/play_rollout.cpp
+++ b/scale/experiment_rollout.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "discovery_steps.hpp"
-#include "play.hpp"
+#include "experiment.hpp"
 
 namespace merlinrun::scale {
 namespace {
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-std::unique_ptr<Step> MakePlayRollout(Parameters& parameters) {
+std::unique_ptr<Step> MakeRolloutExperiment(Parameters& parameters) {
   return MakeExperimentStep(
       "play_rollout",
       [](Parameters& p) -> std::unique_ptr<Experiment> { return std::make_unique<Rollout>(p); }, parameters);
--- a/scale/play_part_lost.cpp
+++ b/scale/experiment_server_loss.cpp
@@ -4,7 +4,7 @@
 
 #include "control.hpp"
 #include "discovery_steps.hpp"
-#include "play.hpp"
+#include "experiment.hpp"
 #include "server_list.hpp"
 
 namespace merlinrun::scale {
@@ -88,11 +88,11 @@
 
 }  // namespace
 
-std::unique_ptr<Step> MakePlayRack(Parameters& parameters) {
+std::unique_ptr<Step> MakeRackLossExperiment(Parameters& parameters) {
   return MakeExperimentStep("play_rack", CreateRackLoss, parameters);
 }
 
-std::unique_ptr<Step> MakePlayZone(Parameters& parameters) {
+std::unique_ptr<Step> MakeZoneLossExperiment(Parameters& parameters) {
   return MakeExperimentStep("play_zone", CreateZoneLoss, parameters);
 }
 
--- a/scale/play_steady.cpp
+++ b/scale/experiment_steady.cpp
@@ -1,6 +1,6 @@
 // A normal day: single servers drain and come up again at random times.
 #include "discovery_steps.hpp"
-#include "play.hpp"
+#include "experiment.hpp"
 
 namespace merlinrun::scale {
 namespace {
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::unique_ptr<Step> MakePlaySteady(Parameters& parameters) {
+std::unique_ptr<Step> MakeSteadyExperiment(Parameters& parameters) {
   return MakeExperimentStep(
       "play_steady", [](Parameters& p) -> std::unique_ptr<Experiment> { return std::make_unique<Steady>(p); },
       parameters);
--- a/scale/discovery_stand_in.cpp
+++ b/scale/fake_discovery.cpp
@@ -1,4 +1,4 @@
-#include "discovery_stand_in.hpp"
+#include "fake_discovery.hpp"
 
 #include <sys/socket.h>
 
@@ -6,7 +6,7 @@
 #include <charconv>
 #include <string_view>
 
-#include "discovery_connection.hpp"
+#include "fake_discovery_connection.hpp"
 
 namespace merlinrun::scale {
 namespace {
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-DiscoveryStandIn::DiscoveryStandIn(asio::io_context& io, std::vector<Tcp::endpoint> listen, Options options)
+FakeDiscovery::FakeDiscovery(asio::io_context& io, std::vector<Tcp::endpoint> listen, Options options)
     : io_(io),
       options_(options),
       addresses_(std::move(listen)),
@@ -51,25 +51,25 @@
   ScheduleHeartbeats();
 }
 
-DiscoveryStandIn::~DiscoveryStandIn() { ResetConnections(); }
+FakeDiscovery::~FakeDiscovery() { ResetConnections(); }
 
 // ---- The list ----
 
-void DiscoveryStandIn::SetList(const std::vector<Entry>& list) { SendToWatches(list_.Set(list)); }
+void FakeDiscovery::SetList(const std::vector<Entry>& list) { SendToWatches(list_.Set(list)); }
 
-std::int64_t DiscoveryStandIn::Change(const std::vector<Entry>& entries) {
+std::int64_t FakeDiscovery::Change(const std::vector<Entry>& entries) {
   SendToWatches(list_.Change(entries));
   return list_.generation();
 }
 
-void DiscoveryStandIn::SendToWatches(const FramePtr& frame) {
+void FakeDiscovery::SendToWatches(const FramePtr& frame) {
   for (const auto& slot : heartbeat_slots_)
     for (Connection* const watch : slot) watch->Write(frame);
 }
 
 // ---- Calls ----
 
-void DiscoveryStandIn::OnCall(const ConnectionPtr& from, const std::string& target) {
+void FakeDiscovery::OnCall(const ConnectionPtr& from, const std::string& target) {
   const auto now = Clock::now();
   ++counts_.calls;
   const auto second = std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
@@ -91,7 +91,7 @@
   ServeNext();
 }
 
-void DiscoveryStandIn::Refuse(const Call& call) {
+void FakeDiscovery::Refuse(const Call& call) {
   const auto from = call.from.lock();
   if (from == nullptr) return;
   ++counts_.refused;
@@ -99,11 +99,11 @@
       TextFrame("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"));
 }
 
-std::size_t DiscoveryStandIn::EntryCount(const Call& call) const {
+std::size_t FakeDiscovery::EntryCount(const Call& call) const {
   return call.watch ? list_.EntriesAfter(call.index) : list_.size();
 }
 
-void DiscoveryStandIn::ServeNext() {
+void FakeDiscovery::ServeNext() {
   const bool idle = !serving_;
   while (!serving_ && !queue_.empty()) {
     const Call call = std::move(queue_.front());
@@ -130,14 +130,14 @@
   ScheduleQueueTimeout();
 }
 
-void DiscoveryStandIn::Serve(const Call& call) {
+void FakeDiscovery::Serve(const Call& call) {
   const auto from = call.from.lock();
   if (from == nullptr) return;
   if (!call.watch) return from->WriteLast(list_.FullListResponse());
   from->OpenWatch(current_slot_, list_.WatchResponse(call.index));
 }
 
-void DiscoveryStandIn::ScheduleQueueTimeout() {
+void FakeDiscovery::ScheduleQueueTimeout() {
   if (queue_.empty()) return;
   queue_timer_.expires_at(queue_.front().deadline);  // the ones behind it have later deadlines
   queue_timer_.async_wait([this, lifetime = std::weak_ptr(lifetime_)](ErrorCode error) {
@@ -151,7 +151,7 @@
 }
 
 // Each watch gets one heartbeat per interval, in the slot in which the watch was opened.
-void DiscoveryStandIn::ScheduleHeartbeats() {
+void FakeDiscovery::ScheduleHeartbeats() {
   heartbeat_timer_.expires_at(heartbeat_timer_.expiry() +
                               Microseconds(options_.heartbeat_interval) / kHeartbeatSlots);
   heartbeat_timer_.async_wait([this, lifetime = std::weak_ptr(lifetime_)](ErrorCode error) {
@@ -164,7 +164,7 @@
 
 // ---- Failures ----
 
-void DiscoveryStandIn::Listen(std::size_t region) {
+void FakeDiscovery::Listen(std::size_t region) {
   Tcp::acceptor& acceptor = regions_[region].acceptor;
   acceptor.open(addresses_[region].protocol());
   acceptor.set_option(Tcp::acceptor::reuse_address(true));
@@ -173,7 +173,7 @@
   addresses_[region] = acceptor.local_endpoint();
 }
 
-void DiscoveryStandIn::Accept(std::size_t region) {
+void FakeDiscovery::Accept(std::size_t region) {
   regions_[region].acceptor.async_accept(
       [this, region, lifetime = std::weak_ptr(lifetime_)](ErrorCode error, Tcp::socket socket) {
         if (error == asio::error::operation_aborted || lifetime.expired()) return;
@@ -188,14 +188,14 @@
       });
 }
 
-void DiscoveryStandIn::ResetConnections() {
+void FakeDiscovery::ResetConnections() {
   for (Region& region : regions_) {
     for (const ConnectionPtr& connection : region.connections) connection->Reset();
     region.connections.clear();
   }
 }
 
-void DiscoveryStandIn::CloseAll() {
+void FakeDiscovery::CloseAll() {
   lifetime_ = std::make_shared<const char>();
   queue_.clear();
   serving_.reset();
@@ -210,12 +210,12 @@
   ResetConnections();
 }
 
-void DiscoveryStandIn::Crash() {
+void FakeDiscovery::Crash() {
   down_ = true;
   CloseAll();
 }
 
-void DiscoveryStandIn::Restart(bool reset_generations) {
+void FakeDiscovery::Restart(bool reset_generations) {
   if (!std::exchange(down_, false)) return;
   heartbeat_timer_.expires_at(Clock::now());
   ScheduleHeartbeats();
@@ -227,7 +227,7 @@
   }
 }
 
-void DiscoveryStandIn::SetSilent(bool silent) {
+void FakeDiscovery::SetSilent(bool silent) {
   silent_ = silent;
   if (!silent) return;
   for (Region& region : regions_)
@@ -236,7 +236,7 @@
 
 // A listener whose backlog is full drops connection attempts, as a network partition does; a closed listener
 // would refuse them. The fillers are connections to the own listener that are never accepted.
-void DiscoveryStandIn::SetPartitioned(std::size_t region_number, bool partitioned) {
+void FakeDiscovery::SetPartitioned(std::size_t region_number, bool partitioned) {
   Region& region = regions_.at(region_number);
   if (down_ || std::exchange(region.partitioned, partitioned) == partitioned) return;
   ErrorCode ignored;
--- a/scale/discovery_stand_in.hpp
+++ b/scale/fake_discovery.hpp
@@ -1,8 +1,8 @@
 // A fake discovery server that implements the protocol: full lists, and watches with changes and heartbeats
 // (empty lines). Handles calls one after another. Can crash and restart, fall silent, and be partitioned from
 // regions.
-#ifndef MERLINRUN_SCALE_DISCOVERY_STAND_IN_HPP_
-#define MERLINRUN_SCALE_DISCOVERY_STAND_IN_HPP_
+#ifndef MERLINRUN_SCALE_FAKE_DISCOVERY_HPP_
+#define MERLINRUN_SCALE_FAKE_DISCOVERY_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -27,7 +27,7 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-class DiscoveryStandIn {
+class FakeDiscovery {
  public:
   struct Options {
     Micros service_time = 0;                // of a call, plus ...
@@ -53,10 +53,10 @@
   };
 
   // Listens on each of the addresses; the n-th serves region n. Port 0 selects a free port.
-  DiscoveryStandIn(asio::io_context& io, std::vector<Tcp::endpoint> listen, Options options);
-  ~DiscoveryStandIn();
-  DiscoveryStandIn(const DiscoveryStandIn&) = delete;
-  DiscoveryStandIn& operator=(const DiscoveryStandIn&) = delete;
+  FakeDiscovery(asio::io_context& io, std::vector<Tcp::endpoint> listen, Options options);
+  ~FakeDiscovery();
+  FakeDiscovery(const FakeDiscovery&) = delete;
+  FakeDiscovery& operator=(const FakeDiscovery&) = delete;
 
   // Replaces the list and sends the new one to open watches.
   void SetList(const std::vector<Entry>& list);
@@ -137,4 +137,4 @@
 
 }  // namespace merlinrun::scale
 
-#endif  // MERLINRUN_SCALE_DISCOVERY_STAND_IN_HPP_
+#endif  // MERLINRUN_SCALE_FAKE_DISCOVERY_HPP_
--- a/scale/discovery_connection.hpp
+++ b/scale/fake_discovery_connection.hpp
@@ -1,6 +1,6 @@
 // A connection to the fake discovery. Used only by its implementation.
-#ifndef MERLINRUN_SCALE_DISCOVERY_CONNECTION_HPP_
-#define MERLINRUN_SCALE_DISCOVERY_CONNECTION_HPP_
+#ifndef MERLINRUN_SCALE_FAKE_DISCOVERY_CONNECTION_HPP_
+#define MERLINRUN_SCALE_FAKE_DISCOVERY_CONNECTION_HPP_
 
 #include <array>
 #include <boost/asio/buffer.hpp>
@@ -13,14 +13,14 @@
 #include <utility>
 #include <vector>
 
-#include "discovery_stand_in.hpp"
+#include "fake_discovery.hpp"
 
 namespace merlinrun::scale {
 
 // A connection that carries one call. The owner keeps it until it ends.
-class DiscoveryStandIn::Connection : public std::enable_shared_from_this<Connection> {
+class FakeDiscovery::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(DiscoveryStandIn& owner, std::size_t region, Tcp::socket socket)
+  Connection(FakeDiscovery& owner, std::size_t region, Tcp::socket socket)
       : owner_(&owner), region_(region), socket_(std::move(socket)) {
     net::ErrorCode ignored;
     socket_.non_blocking(true, ignored);
@@ -149,7 +149,7 @@
     owner_ = nullptr;
   }
 
-  DiscoveryStandIn* owner_;  // null once the connection has ended
+  FakeDiscovery* owner_;  // null once the connection has ended
   const std::size_t region_;
   Tcp::socket socket_;
   std::unique_ptr<PendingRequest> request_;
@@ -163,4 +163,4 @@
 
 }  // namespace merlinrun::scale
 
-#endif  // MERLINRUN_SCALE_DISCOVERY_CONNECTION_HPP_
+#endif  // MERLINRUN_SCALE_FAKE_DISCOVERY_CONNECTION_HPP_
--- a/scale/fan_out.cpp
+++ b/scale/fan_out.cpp
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "discovery_rig.hpp"
-#include "relayed_rig.hpp"
+#include "discovery_test_bed.hpp"
+#include "relayed_test_bed.hpp"
 
 namespace merlinrun::scale {
 namespace {
--- a/scale/fleet_process.cpp
+++ b/scale/fleet_process.cpp
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "control.hpp"
-#include "hollow.hpp"
 #include "server_list.hpp"
+#include "simulated_sidecar.hpp"
 
 namespace merlinrun::scale {
 namespace {
--- a/scale/known_servers.cpp
+++ b/scale/known_servers.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 
 // Polls one endpoint with a connection per request, as the endpoint serves only one request per connection.
-class KnownServersWatch::EndpointPoller : public std::enable_shared_from_this<EndpointPoller> {
+class KnownServersPoller::EndpointPoller : public std::enable_shared_from_this<EndpointPoller> {
  public:
   EndpointPoller(asio::io_context& io, net::Tcp::endpoint address, std::size_t expected,
                  std::function<void()> on_reached)
@@ -93,15 +93,15 @@
   http::response<http::string_body> response_;
 };
 
-KnownServersWatch::KnownServersWatch(asio::io_context& io, const std::vector<net::Tcp::endpoint>& endpoints,
-                                     std::size_t expected, const std::function<void()>& on_reached) {
+KnownServersPoller::KnownServersPoller(asio::io_context& io, const std::vector<net::Tcp::endpoint>& endpoints,
+                                       std::size_t expected, const std::function<void()>& on_reached) {
   for (const net::Tcp::endpoint& address : endpoints) {
     pollers_.push_back(std::make_shared<EndpointPoller>(io, address, expected, on_reached));
     pollers_.back()->Poll();
   }
 }
 
-KnownServersWatch::~KnownServersWatch() {
+KnownServersPoller::~KnownServersPoller() {
   try {
     for (const auto& poller : pollers_) poller->Close();
   } catch (const std::exception& error) {  // the timer could not be cancelled; its handler no longer polls
--- a/scale/known_servers.hpp
+++ b/scale/known_servers.hpp
@@ -14,15 +14,15 @@
 namespace merlinrun::scale {
 
 // Polls each management endpoint, with a pause between, until it reports the expected number of servers.
-class KnownServersWatch {
+class KnownServersPoller {
  public:
   // Calls `on_reached` once for each endpoint. The loop must outlive this object.
-  KnownServersWatch(net::asio::io_context& io, const std::vector<net::Tcp::endpoint>& endpoints,
-                    std::size_t expected, const std::function<void()>& on_reached);
+  KnownServersPoller(net::asio::io_context& io, const std::vector<net::Tcp::endpoint>& endpoints,
+                     std::size_t expected, const std::function<void()>& on_reached);
   // Stops polling.
-  ~KnownServersWatch();
-  KnownServersWatch(const KnownServersWatch&) = delete;
-  KnownServersWatch& operator=(const KnownServersWatch&) = delete;
+  ~KnownServersPoller();
+  KnownServersPoller(const KnownServersPoller&) = delete;
+  KnownServersPoller& operator=(const KnownServersPoller&) = delete;
 
  private:
   class EndpointPoller;
--- a/scale/list_size.cpp
+++ b/scale/list_size.cpp
@@ -4,8 +4,8 @@
 #include <cstdint>
 #include <vector>
 
-#include "discovery_rig.hpp"
 #include "discovery_steps.hpp"
+#include "discovery_test_bed.hpp"
 
 namespace merlinrun::scale {
 namespace {
--- a/scale/relayed_rig.cpp
+++ b/scale/relayed_test_bed.cpp
@@ -1,4 +1,4 @@
-#include "relayed_rig.hpp"
+#include "relayed_test_bed.hpp"
 
 #include <algorithm>
 
--- a/scale/relayed_rig.hpp
+++ b/scale/relayed_test_bed.hpp
@@ -1,13 +1,13 @@
 // A test bed with or without relays between discovery and the fleets, to compare the same fleet in both
 // setups.
-#ifndef MERLINRUN_SCALE_RELAYED_RIG_HPP_
-#define MERLINRUN_SCALE_RELAYED_RIG_HPP_
+#ifndef MERLINRUN_SCALE_RELAYED_TEST_BED_HPP_
+#define MERLINRUN_SCALE_RELAYED_TEST_BED_HPP_
 
 #include <cstdint>
 #include <optional>
 #include <vector>
 
-#include "discovery_rig.hpp"
+#include "discovery_test_bed.hpp"
 #include "relay_tier.hpp"
 #include "step.hpp"
 
@@ -30,4 +30,4 @@
 
 }  // namespace merlinrun::scale
 
-#endif  // MERLINRUN_SCALE_RELAYED_RIG_HPP_
+#endif  // MERLINRUN_SCALE_RELAYED_TEST_BED_HPP_
--- a/scale/reload.cpp
+++ b/scale/reload.cpp
@@ -125,8 +125,8 @@
     took_effect.Begin();
     after.Change({change});
     {
-      const KnownServersWatch watch(io, ManagementEndpoints(sidecars), addresses.size() + 1,
-                                    [&] { took_effect.Add(); });
+      const KnownServersPoller watch(io, ManagementEndpoints(sidecars), addresses.size() + 1,
+                                     [&] { took_effect.Add(); });
       Await(io, context, "apply the change", [&] { return took_effect.count() >= all; });
     }
     for (const auto& caller : callers) caller->Stop();
--- a/scale/service.hpp
+++ b/scale/service.hpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "discovery_stand_in.hpp"
+#include "fake_discovery.hpp"
 #include "fake_server.hpp"
 
 namespace merlinrun::scale {
@@ -21,8 +21,8 @@
 
   // The address of discovery.
   net::Tcp::endpoint discovery_address() const { return discovery_.addresses().front(); }
-  const std::vector<net::Tcp::endpoint>& addresses() const { return addresses_; }           // of the servers
-  const DiscoveryStandIn::Counts& discovery_counts() const { return discovery_.counts(); }  // of discovery
+  const std::vector<net::Tcp::endpoint>& addresses() const { return addresses_; }        // of the servers
+  const FakeDiscovery::Counts& discovery_counts() const { return discovery_.counts(); }  // of discovery
   // Sends the changed entries to all watches.
   void Change(const std::vector<Entry>& entries) { discovery_.Change(entries); }
   // The servers that run in this process.
@@ -31,7 +31,7 @@
  private:
   std::vector<std::unique_ptr<FakeServer>> servers_;
   std::vector<net::Tcp::endpoint> addresses_;
-  DiscoveryStandIn discovery_;
+  FakeDiscovery discovery_;
 };
 
 // Returns the entries that discovery lists for servers at these addresses.
--- a/scale/sidecars.cpp
+++ b/scale/sidecars.cpp
@@ -54,7 +54,7 @@
     }
     if (context.should_stop()) return;
     const auto sidecar_count = static_cast<double>(count);
-    const DiscoveryStandIn::Counts start = service.discovery_counts();
+    const FakeDiscovery::Counts start = service.discovery_counts();
     Sample sample{"sidecars", {{"sidecars", sidecar_count}}, {}, repeat};
     sample.figures["discovery_watches"] = static_cast<double>(start.watches);
     sample.figures["discovery_calls_per_start"] = static_cast<double>(start.calls) / sidecar_count;
--- a/scale/hollow_and_real.cpp
+++ b/scale/simulated_and_real.cpp
@@ -1,4 +1,4 @@
-#include "hollow_and_real.hpp"
+#include "simulated_and_real.hpp"
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -207,7 +207,7 @@
 
 }  // namespace
 
-std::unique_ptr<Step> MakeHollowAndReal(Parameters& parameters) {
+std::unique_ptr<Step> MakeSimulatedAndReal(Parameters& parameters) {
   return std::make_unique<SimulatedAndReal>(parameters);
 }
 
--- a/scale/hollow.cpp
+++ b/scale/simulated_sidecar.cpp
@@ -1,4 +1,4 @@
-#include "hollow.hpp"
+#include "simulated_sidecar.hpp"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
--- a/scale/hollow.hpp
+++ b/scale/simulated_sidecar.hpp
@@ -1,7 +1,7 @@
 // Simulated sidecars: the sidecar's discovery client and its balancer, without listeners or connections to
 // servers. Thousands of them fit into one process.
-#ifndef MERLINRUN_SCALE_HOLLOW_HPP_
-#define MERLINRUN_SCALE_HOLLOW_HPP_
+#ifndef MERLINRUN_SCALE_SIMULATED_SIDECAR_HPP_
+#define MERLINRUN_SCALE_SIMULATED_SIDECAR_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -86,4 +86,4 @@
 
 }  // namespace merlinrun::scale
 
-#endif  // MERLINRUN_SCALE_HOLLOW_HPP_
+#endif  // MERLINRUN_SCALE_SIMULATED_SIDECAR_HPP_
--- a/scale/steps.cpp
+++ b/scale/steps.cpp
@@ -2,9 +2,9 @@
 #include "chain.hpp"
 #include "discovery_steps.hpp"
 #include "fan_out.hpp"
-#include "hollow_and_real.hpp"
 #include "reload.hpp"
 #include "sidecars.hpp"
+#include "simulated_and_real.hpp"
 #include "step.hpp"
 
 namespace merlinrun::scale {
@@ -16,16 +16,16 @@
       {"change_rate", MakeChangeRate},
       {"change_size", MakeChangeSize},
       {"fan_out", MakeFanOut},
-      {"hollow_and_real", MakeHollowAndReal},
+      {"hollow_and_real", MakeSimulatedAndReal},
       {"list_size", MakeListSize},
-      {"play_discovery_restart", MakePlayDiscoveryRestart},
-      {"play_rack", MakePlayRack},
-      {"play_region_cut", MakePlayRegionCut},
-      {"play_region_restart", MakePlayRegionRestart},
-      {"play_reload", MakePlayReload},
-      {"play_rollout", MakePlayRollout},
-      {"play_steady", MakePlaySteady},
-      {"play_zone", MakePlayZone},
+      {"play_discovery_restart", MakeDiscoveryRestartExperiment},
+      {"play_rack", MakeRackLossExperiment},
+      {"play_region_cut", MakeRegionPartitionExperiment},
+      {"play_region_restart", MakeRegionRestartExperiment},
+      {"play_reload", MakeReloadExperiment},
+      {"play_rollout", MakeRolloutExperiment},
+      {"play_steady", MakeSteadyExperiment},
+      {"play_zone", MakeZoneLossExperiment},
       {"reload", MakeReload},
       {"sidecars", MakeSidecars},
       {"watches", MakeWatches},
--- a/tests/scale/discovery_rig_test.cpp
+++ b/tests/scale/discovery_test_bed_test.cpp
@@ -1,6 +1,6 @@
 // Tests of the discovery test bed, with discovery and fleets in processes of their own, and of the steps that
 // use it.
-#include "scale/discovery_rig.hpp"
+#include "scale/discovery_test_bed.hpp"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "scale/relayed_rig.hpp"
+#include "scale/relayed_test_bed.hpp"
 #include "scale/step.hpp"
 
 namespace merlinrun::scale {
--- a/tests/scale/discovery_stand_in_test.cpp
+++ b/tests/scale/fake_discovery_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the fake discovery with the sidecar's own discovery client.
-#include "scale/discovery_stand_in.hpp"
+#include "scale/fake_discovery.hpp"
 
 #include "net/discovery.hpp"
 #include "net/loopback.hpp"
@@ -51,11 +51,11 @@
 
 class FakeDiscoveryTest : public ::testing::Test {
  protected:
-  void Start(DiscoveryStandIn::Options options = {}, std::size_t regions = 1) {
+  void Start(FakeDiscovery::Options options = {}, std::size_t regions = 1) {
     std::vector<Tcp::endpoint> listen;
     for (std::size_t i = 0; i < regions; ++i)
       listen.emplace_back(asio::ip::make_address("127.0.0." + std::to_string(i + 1)), 0);
-    fake_discovery = std::make_unique<DiscoveryStandIn>(io, listen, options);
+    fake_discovery = std::make_unique<FakeDiscovery>(io, listen, options);
     fake_discovery->SetList(Servers(3));
   }
   Client& AddClient(std::size_t region = 0, bool reopens = false, Micros silence = 2'700'000) {
@@ -67,7 +67,7 @@
   }
 
   asio::io_context io;
-  std::unique_ptr<DiscoveryStandIn> fake_discovery;
+  std::unique_ptr<FakeDiscovery> fake_discovery;
   std::vector<std::unique_ptr<Client>> clients;
 };
 
@@ -128,7 +128,7 @@
 }
 
 TEST_F(FakeDiscoveryTest, AWatchFromOutsideTheHistoryStartsWithTheFullList) {
-  DiscoveryStandIn::Options options;
+  FakeDiscovery::Options options;
   options.history = 2;
   Start(options);
   const std::int64_t known = fake_discovery->generation();
@@ -166,7 +166,7 @@
 }
 
 TEST_F(FakeDiscoveryTest, HeartbeatsKeepAnIdleWatchOpen) {
-  DiscoveryStandIn::Options options;
+  FakeDiscovery::Options options;
   options.heartbeat_interval = 20'000;
   Start(options);
   Client& client = AddClient();
@@ -177,7 +177,7 @@
 }
 
 TEST_F(FakeDiscoveryTest, RefusesCallsWhenTheQueueIsFull) {
-  DiscoveryStandIn::Options options;
+  FakeDiscovery::Options options;
   options.service_time = 60'000'000;  // no call is finished during the test
   options.queue = 2;
   options.max_wait = 60'000'000;
@@ -194,7 +194,7 @@
 }
 
 TEST_F(FakeDiscoveryTest, RefusesCallsThatWaitedTooLong) {
-  DiscoveryStandIn::Options options;
+  FakeDiscovery::Options options;
   options.service_time = 60'000'000;
   options.max_wait = 1'000;
   Start(options);
@@ -203,7 +203,7 @@
 }
 
 TEST_F(FakeDiscoveryTest, ServesOneCallAfterAnother) {
-  DiscoveryStandIn::Options options;
+  FakeDiscovery::Options options;
   options.service_time = 1'000;
   options.service_time_per_entry = 100;
   Start(options);
--- a/tests/scale/hollow_test.cpp
+++ b/tests/scale/simulated_sidecar_test.cpp
@@ -1,11 +1,11 @@
 // Tests of simulated sidecars with the fake discovery.
-#include "scale/hollow.hpp"
+#include "scale/simulated_sidecar.hpp"
 
 #include <algorithm>
 #include <set>
 
 #include "net/loopback.hpp"
-#include "scale/discovery_stand_in.hpp"
+#include "scale/fake_discovery.hpp"
 #include "scale/server_list.hpp"
 
 namespace merlinrun::scale {
@@ -53,7 +53,7 @@
   asio::io_context io;
   drill::WireSettings settings;
   EffectLog log;
-  DiscoveryStandIn fake_discovery{io, {Loopback()}, {}};
+  FakeDiscovery fake_discovery{io, {Loopback()}, {}};
   std::vector<std::unique_ptr<SimulatedSidecar>> fleet;
 };
 
@@ -91,7 +91,7 @@
 }
 
 TEST_P(SimulatedSidecarTest, AReloadMovesThemAndTheKnownListIsUsedMeanwhile) {
-  const auto watching = [&](const DiscoveryStandIn& at) {
+  const auto watching = [&](const FakeDiscovery& at) {
     return RunUntil(io, [&] {
       return at.counts().watches == 4 && std::all_of(fleet.begin(), fleet.end(), [](const auto& sidecar) {
                return sidecar->time_to_watch() > 0;
@@ -99,7 +99,7 @@
     });
   };
   ASSERT_TRUE(watching(fake_discovery));
-  DiscoveryStandIn other(io, {Loopback()}, {});
+  FakeDiscovery other(io, {Loopback()}, {});
   other.SetList(MakeServers(5));
   other.Crash();
   for (const auto& sidecar : fleet) sidecar->Reload(other.addresses()[0]);
