--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -248,7 +248,7 @@
   Balancer(const Balancer&) = delete;
   Balancer& operator=(const Balancer&) = delete;
 
-  // Takes over an update of the list of servers.
+  // Applies an update of the list of servers.
   void OnServers(Micros now, const ListUpdate& update);
   // Sets when changes of the list that this sidecar has missed take effect: from then on it has to obey them,
   // received or not. Empty = the list is current. Once the grace period of a drain that may have been missed
--- a/relay/admission.hpp
+++ b/relay/admission.hpp
@@ -18,9 +18,11 @@
   virtual bool AwaitsFullList() const = 0;
   // Must call Admission::Release once the list has been sent or the connection has ended.
   virtual void OnAdmitted() = 0;
+  // The call has to be answered with an error. Never called for an open watch.
   virtual void OnRefused() = 0;
 };
 
+// Grants the slots in which full lists are sent. A receiver occupies one from OnAdmitted to Release.
 class Admission {
  public:
   using Clock = std::chrono::steady_clock;
--- a/relay/feed.cpp
+++ b/relay/feed.cpp
@@ -6,7 +6,8 @@
 namespace merlinrun::relay {
 namespace {
 
-// Number of cached updates, one for each position of a client. Clients that keep up share the same position.
+// Maximum number of cached updates. One is cached for each position that a client is at; clients that keep up
+// share the same position.
 constexpr std::size_t kMaxCachedUpdates = 32;
 
 }  // namespace
--- a/relay/feed.hpp
+++ b/relay/feed.hpp
@@ -33,11 +33,12 @@
   Feed(const Feed&) = delete;
   Feed& operator=(const Feed&) = delete;
 
+  // Applies an object from the upstream to the list. Its changes are sent with the next batch.
   void Apply(const nlohmann::json& object);
 
-  // Return the full list, and the changes after `from`, or nothing if a client at `from` needs the full list.
-  // Both are serialized once per batch, so between two batches they may lack the latest changes, which the
-  // next batch contains.
+  // FullList returns the full list. UpdateAfter returns the changes after `from`, or nothing if a client at
+  // `from` needs the full list. Both are serialized once per batch, so between two batches they may lack the
+  // latest changes, which the next batch contains.
   Update FullList();
   std::optional<Update> UpdateAfter(Position from);
   // Like UpdateAfter, but returns an object even if nothing has changed. It is the first object of a watch.
--- a/relay/list_store.hpp
+++ b/relay/list_store.hpp
@@ -53,8 +53,8 @@
   std::string FullList() const;
   std::string ChangesAfter(Position position) const;
 
-  // For the state file. Restore returns false, sets `error` and leaves the store empty if Serialize did not
-  // write the text.
+  // For the state file. If the text is incomplete or invalid, Restore returns false, sets `error` and leaves
+  // the store empty.
   std::string Serialize() const;
   bool Restore(const std::string& text, std::string& error);
 
--- a/relay/options.cpp
+++ b/relay/options.cpp
@@ -13,7 +13,7 @@
 // Descriptors that are not available for connections: those of the event loop, the listeners, the upstream
 // and the state file.
 constexpr rlim_t kReservedDescriptors = 64;
-constexpr std::int64_t kMaxMs = 60'000;
+constexpr std::int64_t kMaxOptionMs = 60'000;
 
 net::Tcp::endpoint ParseAddressOption(const std::string& option, const std::string& text) {
   const auto address = net::ParseAddress(text);
@@ -43,9 +43,9 @@
       ->expected(1)
       ->take_all();
   app.add_option("--upstream", upstream, "address of discovery, or of the upstream relay")->required();
-  app.add_option("--state", state, "file that saves the list over a restart");
+  app.add_option("--state", state, "file that keeps the list across restarts");
   app.add_option("--batch-ms", batch, "changes within this time are sent as one object")
-      ->check(CLI::Range(std::int64_t{0}, kMaxMs));
+      ->check(CLI::Range(std::int64_t{0}, kMaxOptionMs));
   app.add_option("--whole-lists", parsed.limits.admission.max_concurrent,
                  "maximum number of full lists that are sent at once")
       ->check(CLI::Range(1, 1'000'000));
@@ -54,7 +54,7 @@
       ->check(CLI::Range(0, 1'000'000));
   app.add_option("--longest-wait-ms", max_wait,
                  "maximum wait for a full list; after it a call is answered with 503")
-      ->check(CLI::Range(std::int64_t{0}, kMaxMs));
+      ->check(CLI::Range(std::int64_t{0}, kMaxOptionMs));
   app.add_option("--history", parsed.max_tombstones,
                  "maximum number of removed entries that are kept for deltas")
       ->check(CLI::Range(0, 100'000'000));
--- a/relay/options.hpp
+++ b/relay/options.hpp
@@ -17,8 +17,8 @@
 };
 
 // Parses `arguments`, which exclude the program's name, into `config`. Throws OptionsError if they are
-// invalid. If help is requested, prints it, leaves `config` unchanged and returns false. The limit of
-// connections is derived from the process's limit of file descriptors.
+// invalid. If help is requested, prints it, leaves `config` unchanged and returns false. The limit on
+// connections is derived from the process's limit on file descriptors.
 bool ParseOptions(const std::vector<std::string>& arguments, Config& config);
 
 }  // namespace merlinrun::relay
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -25,7 +25,8 @@
   std::uint64_t seed = 0;
   Server::Limits limits;
   net::Discovery::Timing timing;  // of the upstream watch
-  // This long after the first data of a call, the first object of the upstream is assumed to be complete.
+  // This long after the first data of a call to the upstream, its first object is assumed to have arrived
+  // completely: the relay then counts as caught up.
   std::chrono::milliseconds catch_up_time{2000};
 };
 
--- a/relay/server.hpp
+++ b/relay/server.hpp
@@ -29,7 +29,7 @@
   struct Limits {
     std::size_t max_connections = 1024;                // further ones are closed at once
     std::chrono::milliseconds head_timeout{2500};      // from accept to the end of the call's header
-    std::chrono::milliseconds linger_timeout{500};     // for the caller to read the answer and close
+    std::chrono::milliseconds linger_timeout{500};     // for the peer to read the answer and close
     std::chrono::milliseconds stall_timeout{10'000};   // for a peer that reads nothing during a write
     std::chrono::milliseconds max_write_time{30'000};  // for one write, however slowly the peer reads
     int send_buffer = 256 * 1024;                      // bytes, in the kernel, for each connection
--- a/relay/session.cpp
+++ b/relay/session.cpp
@@ -19,11 +19,13 @@
 
 constexpr std::string_view kListPath = "/v1/endpoints";
 constexpr std::string_view kStatusPath = "/status";
+// A peer that sends more than this after its call is disconnected.
 constexpr std::size_t kMaxDiscardedBytes = std::size_t{64} * 1024;
 constexpr const char* kWatchHead =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nCache-Control: no-store\r\n"
     "Transfer-Encoding: chunked\r\n\r\n";
 
+// Returns the value of a query parameter, or nothing if the query does not contain it.
 std::optional<std::string_view> Parameter(std::string_view query, std::string_view name) {
   while (!query.empty()) {
     const std::string_view pair = query.substr(0, query.find('&'));
@@ -261,8 +263,8 @@
   std::array<char, 4096> scratch;
   ErrorCode error;
   discarded_bytes_ += socket_.read_some(net::asio::buffer(scratch), error);
-  const bool later = error == net::asio::error::would_block || error == net::asio::error::try_again;
-  if ((error && !later) || discarded_bytes_ > kMaxDiscardedBytes) return Close();
+  const bool would_block = error == net::asio::error::would_block || error == net::asio::error::try_again;
+  if ((error && !would_block) || discarded_bytes_ > kMaxDiscardedBytes) return Close();
   DiscardInput();
 }
 
--- a/relay/session.hpp
+++ b/relay/session.hpp
@@ -1,4 +1,4 @@
-// One connection to a relay. It carries one call: one that is answered once, or a watch.
+// One connection to a relay. It carries one call, which is either answered once or opens a watch.
 #ifndef MERLINRUN_RELAY_SESSION_HPP_
 #define MERLINRUN_RELAY_SESSION_HPP_
 
@@ -75,12 +75,12 @@
   void DiscardInput();
   void OnReadable();
 
-  Server* server_;  // null after the end
+  Server* server_;  // null once the connection is closed
   net::Tcp::socket socket_;
   std::unique_ptr<RequestHead> request_head_;  // until the header of the call has been read
   Phase phase_ = Phase::kReadingHead;
   bool watch_requested_ = false;
-  bool writing_ = false;            // at most one write at a time
+  bool writing_ = false;            // a write is in progress; there is at most one at a time
   bool awaits_full_list_ = false;   // waits in the queue of Admission
   bool admitted_ = false;           // occupies one of the slots of Admission
   bool sending_full_list_ = false;  // the write in progress is the full list
@@ -91,10 +91,10 @@
   std::optional<std::int64_t> awaited_generation_;
   std::string prefix_;  // written before the text: an HTTP header or nothing
   TextPtr text_;
-  std::array<net::asio::const_buffer, 4> buffers_;
-  Clock::time_point last_progress_at_;  // of the write in progress
-  Clock::time_point write_started_at_;  // start of the write in progress
-  std::size_t discarded_bytes_ = 0;     // input after the call
+  std::array<net::asio::const_buffer, 4> buffers_;  // what the write in progress has not written yet
+  Clock::time_point last_progress_at_;              // of the write in progress
+  Clock::time_point write_started_at_;              // start of the write in progress
+  std::size_t discarded_bytes_ = 0;                 // input after the call
 };
 
 }  // namespace merlinrun::relay
--- a/relay/state_file.hpp
+++ b/relay/state_file.hpp
@@ -1,4 +1,4 @@
-// Saves the list over a restart of the relay, in a file that is replaced atomically.
+// Keeps the list across restarts of the relay, in a file that is replaced atomically.
 #ifndef MERLINRUN_RELAY_STATE_FILE_HPP_
 #define MERLINRUN_RELAY_STATE_FILE_HPP_
 
@@ -25,7 +25,7 @@
   // store empty.
   void Read(ListStore& store);
 
-  // To be called when the store has changed. Writes it soon, at most once a second.
+  // To be called when the store has changed. Schedules a write of the file; there is at most one a second.
   void OnChange();
   // Writes changes that have not been written yet, now.
   void Flush();
--- a/relay/text.hpp
+++ b/relay/text.hpp
@@ -1,4 +1,5 @@
-// A serialized object of the discovery protocol, shared by all connections that it is sent on.
+// A serialized object of the discovery protocol, or the body of another answer. It is shared by all
+// connections that it is sent on.
 #ifndef MERLINRUN_RELAY_TEXT_HPP_
 #define MERLINRUN_RELAY_TEXT_HPP_
 
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -454,9 +454,9 @@
     reasons += reasons.empty() ? "" : ", ";
     reasons.append(reason).append(" ").append(std::to_string(count));
   }
-  const std::uint64_t taken = counters_.started();
+  const std::uint64_t started = counters_.started();
   std::fprintf(stderr, "answers: requests %llu, in work %zu; %s\n",
-               static_cast<unsigned long long>(taken - std::exchange(taken_at_last_log_, taken)),
+               static_cast<unsigned long long>(started - std::exchange(started_by_last_log_, started)),
                counters_.in_progress(), reasons.c_str());
   unsuccessful_.clear();
 }
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -158,7 +158,7 @@
   bool other_process_alive_ = false;  // another process of this sidecar is running
   asio::steady_timer log_timer_;
   std::map<std::string_view, int> unsuccessful_;  // by reason, since the last log line
-  std::uint64_t taken_at_last_log_ = 0;           // requests accepted until the last log line
+  std::uint64_t started_by_last_log_ = 0;         // requests started until the last log line
   std::function<void()> on_drained_;
   Micros drain_end_ = 0;    // 0 unless draining
   bool expedited_ = false;  // ExpeditePendingRequests has been called
--- a/src/tunables.hpp
+++ b/src/tunables.hpp
@@ -130,8 +130,8 @@
 // The maximum share of requests for which a server is skipped, so that an occasional attempt notices the
 // recovery.
 inline constexpr double kMaxSkipShare = 0.95;
-// What kRefusalMemory is for refusals, for a server's failures (errors and attempts without an answer) of a
-// class. Longer than for refusals, as one answer in a thousand is an error on any server: a single one must
+// The same as kRefusalMemory, for a server's failures (errors and attempts without an answer) of a class.
+// Longer than for refusals, as one answer in a thousand is an error on any server: a single one must
 // not count for much.
 inline constexpr double kErrorMemory = 4;
 // At most this share of the window is ejected at once: a slowdown of all servers must not empty the window.
--- a/tests/faults/caller.cpp
+++ b/tests/faults/caller.cpp
@@ -17,7 +17,7 @@
 constexpr int kMaxDisconnectDelayMs = 300;  // ... this long after it sent them, at most
 constexpr double kMaxDeadline = 2.0;        // seconds
 constexpr double kMinDeadline = 0.4;
-// An answer that arrives later than this after the deadline is not waited for.
+// An answer is waited for until this long after the deadline.
 constexpr auto kAnswerTolerance = milliseconds(500);
 
 }  // namespace
--- a/tests/faults/caller.hpp
+++ b/tests/faults/caller.hpp
@@ -42,7 +42,8 @@
          std::deque<Request>& requests);
 
   void Start() { Pause(); }
-  // From now on a new connection is opened only to send a request again whose connection ended unanswered.
+  // From now on a new connection is opened only to send a request again that was not answered before its
+  // connection ended.
   void ReconnectOnlyToResend() { reconnects_only_to_resend_ = true; }
   void Stop();
 
@@ -56,6 +57,7 @@
   void OnTimeout();
   bool Connect();
   void Disconnect();
+  // Returns a random number, uniform in [0, 1).
   double Unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   net::asio::io_context& io_;
--- a/tests/faults/faulty_discovery.cpp
+++ b/tests/faults/faulty_discovery.cpp
@@ -21,7 +21,7 @@
 constexpr auto kMaxCallTime = milliseconds(3000);
 // A change this shortly before an outage counts as made during it: the sidecar had no time to receive it.
 constexpr auto kOutageLeadTime = milliseconds(250);
-constexpr double kFullListShare = 0.5;  // of the updates of a watch
+constexpr double kFullListShare = 0.5;  // share of the updates of a watch that are sent as full lists
 
 std::string Chunk(const std::string& text) {
   char size[16];
@@ -72,14 +72,14 @@
   bool open() const { return open_; }
   bool watching() const { return open_ && watching_; }
 
-  std::int64_t known_version = -1;  // the version that the sidecar has; -1 = none
-  bool silent = false;              // the watch stays open, and nothing more is sent on it
+  std::int64_t known_generation = -1;  // of the sidecar's list; -1 = it has none
+  bool silent = false;                 // the watch stays open, and nothing more is sent on it
 
  private:
   void OnRequest() {
     request_received_ = true;
     const std::size_t index = request_.find("index=");
-    known_version = index == std::string::npos ? -1 : std::stoll(request_.substr(index + 6));
+    known_generation = index == std::string::npos ? -1 : std::stoll(request_.substr(index + 6));
     FaultyDiscovery& owner = *owner_;
     ++owner.calls_;
     switch (owner.mode_) {
@@ -112,7 +112,7 @@
     Close();
   }
   void Answer() {
-    if (known_version < 0) {
+    if (known_generation < 0) {
       owner_->MarkWritten(-1);
       const std::string text = owner_->FullList().dump();
       Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text);
@@ -192,27 +192,27 @@
   nlohmann::json instances = nlohmann::json::array();
   for (const auto& [id, entry] : entries_)
     if (entry.at("lifecycle") == "up") instances.push_back(entry);
-  return {{"generation", version_}, {"reset", true}, {"instances", instances}};
+  return {{"generation", generation_}, {"reset", true}, {"instances", instances}};
 }
 
 nlohmann::json FaultyDiscovery::WrittenList() const {
-  if (written_version_ == 0) return FullList();
+  if (written_generation_ == 0) return FullList();
   nlohmann::json instances = nlohmann::json::array();
   for (const auto& [id, entry] : written_)
     if (entry.at("lifecycle") == "up") instances.push_back(entry);
-  return {{"generation", written_version_}, {"reset", true}, {"instances", instances}};
+  return {{"generation", written_generation_}, {"reset", true}, {"instances", instances}};
 }
 
 void FaultyDiscovery::MarkWritten(std::int64_t after) {
   written_ = entries_;
-  written_version_ = version_;
+  written_generation_ = generation_;
   for (Change& change : changes_)
-    if (change.version > after && !change.written_at) change.written_at = Clock::now();
+    if (change.generation > after && !change.written_at) change.written_at = Clock::now();
 }
 
 void FaultyDiscovery::SendChanges(Session& session, bool cut_off) {
-  if (session.known_version >= version_) {
-    MarkWritten(version_);
+  if (session.known_generation >= generation_) {
+    MarkWritten(generation_);
     return session.Write(Chunk("\n"));
   }
   nlohmann::json object = FullList();
@@ -220,12 +220,12 @@
     object["reset"] = false;
     std::map<std::string, nlohmann::json> changed;
     for (const Change& change : changes_)
-      if (change.version > session.known_version) changed[change.server] = entries_.at(change.server);
+      if (change.generation > session.known_generation) changed[change.server] = entries_.at(change.server);
     object["instances"] = nlohmann::json::array();
     for (const auto& [id, entry] : changed) object["instances"].push_back(entry);
   }
-  MarkWritten(session.known_version);
-  session.known_version = version_;
+  MarkWritten(session.known_generation);
+  session.known_generation = generation_;
   const std::string text = Chunk(object.dump() + "\n");
   if (!cut_off) return session.Write(text);
   session.Write(text.substr(0, text.size() / 2));
@@ -235,7 +235,7 @@
 void FaultyDiscovery::Publish(const nlohmann::json& entry, Delivery delivery) {
   const std::string id = entry.at("instanceId");
   entries_[id] = entry;
-  changes_.push_back({++version_, id, entry.at("lifecycle"), Clock::now(), std::nullopt});
+  changes_.push_back({++generation_, id, entry.at("lifecycle"), Clock::now(), std::nullopt});
   for (const auto& session : std::vector<std::shared_ptr<Session>>(sessions_)) {
     if (!session->watching() || session->silent || mode_ == Mode::kSilent) continue;
     switch (delivery) {
--- a/tests/faults/faulty_discovery.hpp
+++ b/tests/faults/faulty_discovery.hpp
@@ -43,7 +43,7 @@
   };
 
   struct Change {
-    std::int64_t version = 0;
+    std::int64_t generation = 0;
     std::string server;
     std::string lifecycle;
     Clock::time_point made_at;
@@ -64,7 +64,7 @@
   // Adds a server or changes its entry.
   void Publish(const nlohmann::json& entry, Delivery delivery);
   nlohmann::json FullList() const;
-  // The full list as of the last version that has been written to any connection.
+  // The full list of the last generation that has been written to any connection.
   nlohmann::json WrittenList() const;
 
   const std::vector<Change>& changes() const { return changes_; }
@@ -84,12 +84,13 @@
 
   void Listen(std::size_t index);
   void Accept(std::size_t index);
-  // Sends the changes since the version that the watch has, or the full list instead.
+  // Sends the changes after the generation that the watch has, or the full list instead.
   void SendChanges(Session& session, bool cut_off);
   void EndSilence();
-  // Records that the changes after this version have been written now.
+  // Records that the changes after this generation have been written now.
   void MarkWritten(std::int64_t after);
   void ScheduleHeartbeat();
+  // Returns a random number, uniform in [0, 1).
   double Unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   net::asio::io_context& io_;
@@ -101,8 +102,8 @@
   std::vector<std::shared_ptr<Session>> sessions_;
   std::map<std::string, nlohmann::json> entries_;
   std::map<std::string, nlohmann::json> written_;  // entries_ as last written
-  std::int64_t written_version_ = 0;
-  std::int64_t version_ = 1;
+  std::int64_t written_generation_ = 0;
+  std::int64_t generation_ = 1;
   std::vector<Change> changes_;
   std::vector<Interval> outages_;
   std::vector<Interval> silences_;  // of watches, because of Delivery::kSilenceWatch
--- a/tests/faults/recording_server.hpp
+++ b/tests/faults/recording_server.hpp
@@ -20,9 +20,9 @@
 
 // A request that a server received.
 struct Arrival {
-  std::string request;
-  std::string server;
-  Clock::time_point first_byte;
+  std::string request;           // its id
+  std::string server;            // its id
+  Clock::time_point first_byte;  // when the first byte of the request arrived
   double received_deadline = 0;  // seconds, from the request's deadline header
   bool declined = false;         // the server answered that it did not run the request
 };
--- a/tests/faults/silent_discovery_test.cpp
+++ b/tests/faults/silent_discovery_test.cpp
@@ -1,6 +1,6 @@
-// Tests a discovery that pushes its lists and is silent on all connections. It counts as down, so it cannot
-// learn of changes: service continues without it, and the changes that it sends afterwards take effect at
-// once.
+// Tests a discovery that pushes its lists and is silent on all connections. It counts as down, and a
+// discovery that is down cannot learn of changes: service continues without it, and the changes that it sends
+// afterwards take effect at once.
 #include <algorithm>
 
 #include "../net/loopback.hpp"
--- a/tests/faults/soak_rules.cpp
+++ b/tests/faults/soak_rules.cpp
@@ -88,6 +88,7 @@
     return started + record_.ask_within;
   }
 
+  // No attempt may reach a server later than the grace period after its drain or removal took effect.
   void CheckDrain(const Arrival& arrival) {
     for (const FaultyDiscovery::Change& change : record_.discovery->changes()) {
       if (change.server != arrival.server || change.lifecycle == "up") continue;
@@ -103,6 +104,8 @@
     }
   }
 
+  // An attempt must belong to a known request. It may not reach a server after the client has disconnected,
+  // nor with a longer deadline than the client has left.
   void CheckAttempt(const Arrival& arrival) {
     const auto found = requests_.find(arrival.request);
     if (found == requests_.end())
@@ -131,6 +134,9 @@
     }
   }
 
+  // Each request must be answered, unless its client disconnected, the sidecar was killed or shut down, or
+  // the connection was closed before the request was accepted (more than once only while idle clients use up
+  // the descriptors).
   void CheckAnswer(const Request& request) {
     const auto due =
         request.sent +
--- a/tests/faults/soak_run.cpp
+++ b/tests/faults/soak_run.cpp
@@ -155,11 +155,12 @@
     ScheduleAt(from, std::string("discovery is ") + name, [this, mode = mode] { discovery_.SetMode(mode); });
     ScheduleAt(from + Between(1.0, max_duration), "discovery is healthy",
                [this] { discovery_.SetMode(FaultyDiscovery::Mode::kHealthy); });
-    RecordingServer& hangs = *servers_.back();
+    RecordingServer& hanging_server = *servers_.back();
     const double at = Between(kFirstFault, kLastFault);
-    ScheduleAt(at, hangs.id() + " hangs", [&hangs] { hangs.SetMode(RecordingServer::Mode::kHanging); });
-    ScheduleAt(at + Between(1.0, 8.0), hangs.id() + " works again",
-               [&hangs] { hangs.SetMode(RecordingServer::Mode::kServing); });
+    ScheduleAt(at, hanging_server.id() + " hangs",
+               [&hanging_server] { hanging_server.SetMode(RecordingServer::Mode::kHanging); });
+    ScheduleAt(at + Between(1.0, 8.0), hanging_server.id() + " works again",
+               [&hanging_server] { hanging_server.SetMode(RecordingServer::Mode::kServing); });
     const int reloads = static_cast<int>(3 * Unit());
     for (int i = 0; i < reloads; ++i)
       ScheduleAt(Between(kFirstFault, kLastFault), "SIGHUP, another address of discovery", [this, i] {
@@ -273,6 +274,7 @@
     return result;
   }
 
+  // Returns a random number, uniform in [0, 1).
   double Unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   double Between(double min, double max) { return min + (max - min) * Unit(); }
 
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -27,7 +27,7 @@
   static net::Discovery::Timing Timing() {
     net::Discovery::Timing timing;
     timing.backoff_base = timing.backoff_max = 2'000;
-    timing.silence_timeout = timing.answer_timeout = 60'000'000;  // no retry because of a busy machine
+    timing.silence_timeout = timing.answer_timeout = 60'000'000;  // a busy machine must cause no retry
     return timing;
   }
   void OnList(const net::EndpointList& list) {
@@ -83,7 +83,7 @@
   void Change(std::int64_t generation, const std::string& id, const std::string& lifecycle = "up") {
     upstream.SendToWatches(List(generation, false, {Instance(id, lifecycle)}));
   }
-  void KeepState() {
+  void UseStateFile() {
     config.state_path =
         std::filesystem::temp_directory_path() / ("rookhub-relay-test-" + std::to_string(::getpid()));
   }
@@ -251,7 +251,7 @@
 }
 
 TEST_F(RelayTest, ServesTheSavedListAfterARestartWhileDiscoveryIsDown) {
-  KeepState();
+  UseStateFile();
   Start();
   Change(42, "b", "removed");
   ASSERT_TRUE(RunUntil(io, [&] { return relay->feed().store().generation() == 42; }));
@@ -286,7 +286,7 @@
 }
 
 TEST_F(RelayTest, AnIncompleteStateFileIsIgnoredAndTheListIsRequestedAgain) {
-  KeepState();
+  UseStateFile();
   std::ofstream(config.state_path) << "{\"format\":\"rookhub relay state 1\",\"generation\":9";
   Start();
   EXPECT_EQ(relay->feed().store().generation(), 41);
@@ -295,9 +295,9 @@
 
 TEST_F(RelayTest, ARelayCanBeTheUpstreamOfAnother) {
   Start();
-  Config below = config;
-  below.upstream = relay->addresses().front();
-  Relay second(io, below);
+  Config downstream_config = config;
+  downstream_config.upstream = relay->addresses().front();
+  Relay second(io, downstream_config);
   ASSERT_TRUE(RunUntil(io, [&] { return second.upstream_connected() && second.feed().store().known(); }));
   Sidecar sidecar(io, second.addresses().front());
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar.lists.size() == 2; }));
--- a/tests/relay/server_test.cpp
+++ b/tests/relay/server_test.cpp
@@ -30,6 +30,7 @@
     peer->Write(text);
     return peer;
   }
+  // Sends `text` and returns what is received until the connection ends.
   std::string Answer(const std::string& text) {
     const auto peer = Send(text);
     peer->Read();
