--- a/scale/call_plan.hpp
+++ b/scale/call_plan.hpp
@@ -23,7 +23,8 @@
   // Reads "service_us", "exponential", "server_processes" and the keys of PairedPlan.
   static CallPlan Read(Parameters& parameters);
   // Returns an upper estimate of the number of calls of one caller that are open at the same time, for calls
-  // that pass through `depth` services. A call is assumed to take five times its total service time.
+  // that pass through `depth` services. A call is assumed to take five times its total service time,
+  // which is counted as at least 1 ms per service.
   std::size_t MaxOpenCalls(double calls_per_s, std::size_t depth = 1) const;
   // Returns `server` with this seed.
   ServerSettings ServerWithSeed(std::uint64_t seed) const;
--- a/scale/change_rate.cpp
+++ b/scale/change_rate.cpp
@@ -29,7 +29,7 @@
  private:
   void Measure(Context& context, std::int64_t rate, int repeat) const {
     DiscoveryTestBed test_bed(context, {listed_, regions_, fleets_});
-    const auto first = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
+    const auto generation_before = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
     test_bed.AddSidecars(sidecars_);
     test_bed.AwaitWatches();
     const std::int64_t cpu = test_bed.SumOverFleets("cpu_us");
@@ -44,7 +44,7 @@
     const auto after = test_bed.DiscoveryCounts();
 
     const double us = Increase(before, after, "at_us");
-    const auto changes = test_bed.ChangesSince(first);
+    const auto changes = test_bed.ChangesSince(generation_before);
     Sample sample;
     sample.measure = "change_rate";
     sample.repeat = repeat;
--- a/scale/change_size.cpp
+++ b/scale/change_size.cpp
@@ -50,7 +50,7 @@
         test_bed.ChangeServers({{"first", 0}, {"count", entries}, {"lifecycle", "draining"}}));
     const std::int64_t end_cpu = test_bed.SumOverFleets("cpu_us");
 
-    const auto all = static_cast<double>(sidecars_ * changes_);
+    const auto changes_received = static_cast<double>(sidecars_ * changes_);
     const double bytes =
         Increase(before, after, "bytes_out") - kHeartbeatBytes * Increase(before, after, "blank_lines");
     Sample sample;
@@ -58,8 +58,8 @@
     sample.repeat = repeat;
     sample.conditions = {{"listed", static_cast<double>(listed)}};
     sample.figures = {
-        {"cpu_us_per_change", static_cast<double>(changed_cpu - cpu) / all},
-        {"bytes_in_per_change", bytes / all},
+        {"cpu_us_per_change", static_cast<double>(changed_cpu - cpu) / changes_received},
+        {"bytes_in_per_change", bytes / changes_received},
         {"cpu_us_per_entry_in_bulk",
          static_cast<double>(end_cpu - bulk_cpu) / static_cast<double>(sidecars_ * entries)},
     };
--- a/scale/control.cpp
+++ b/scale/control.cpp
@@ -95,11 +95,11 @@
   asio::async_read_until(socket_, input_, '\n', [this](ErrorCode error, std::size_t) {
     if (error) return io_.stop();
     std::istream stream(&input_);
-    std::string line_end;
-    std::getline(stream, line_end);
+    std::string line;
+    std::getline(stream, line);
     nlohmann::json reply;
     try {
-      reply = handler_(nlohmann::json::parse(line_end));
+      reply = handler_(nlohmann::json::parse(line));
     } catch (const std::exception& exception) {
       reply = {{"error", exception.what()}};
     }
--- a/scale/discovery_list.cpp
+++ b/scale/discovery_list.cpp
@@ -86,11 +86,11 @@
 
 std::size_t DiscoveryList::EntriesAfter(std::int64_t index) const {
   if (!HistoryCovers(index)) return list_.size();
-  std::size_t lines = 0;
+  std::size_t entries = 0;
   for (auto past_change = history_.rbegin();
        past_change != history_.rend() && past_change->generation > index; ++past_change)
-    lines += past_change->entries.size();
-  return lines;
+    entries += past_change->entries.size();
+  return entries;
 }
 
 FramePtr DiscoveryList::FullListResponse() {
--- a/scale/discovery_list.hpp
+++ b/scale/discovery_list.hpp
@@ -41,7 +41,8 @@
 
 class DiscoveryList {
  public:
-  // `history` is how many changes a watch may start behind the present and still get only the changes.
+  // `history` is the number of past changes that are kept. A watch that needs an older one starts with the
+  // full list.
   explicit DiscoveryList(std::size_t history) : max_history_(history) {}
 
   // Replaces the list, or applies changed entries. Both return the chunk to send to open watches.
--- a/scale/discovery_test_bed.cpp
+++ b/scale/discovery_test_bed.cpp
@@ -102,8 +102,9 @@
     for (const auto& fleet : fleets_) done += fleet->Receive().at(status_key).get<std::int64_t>();
     if (done == sidecars_) return;
     if (std::chrono::steady_clock::now() > end)
-      throw std::runtime_error("a list has not taken effect at " + std::to_string(sidecars_ - done) + " of " +
-                               std::to_string(sidecars_) + " sidecars after two minutes");
+      throw std::runtime_error("a list has not taken effect, or a watch has not started, at " +
+                               std::to_string(sidecars_ - done) + " of " + std::to_string(sidecars_) +
+                               " sidecars after two minutes");
     Wait(std::chrono::duration<double>(kPollInterval).count());
   }
 }
@@ -151,8 +152,8 @@
   DelaySummary delays;
   for (const auto& fleet : fleets_) fleet->Send(command);
   for (const auto& fleet : fleets_) {
-    const json answer = fleet->Receive();
-    for (const json& bin : answer.at("tenths_ms")) {
+    const json reply = fleet->Receive();
+    for (const json& bin : reply.at("tenths_ms")) {
       counts[bin.at(0).get<std::int64_t>()] += bin.at(1).get<std::int64_t>();
       delays.count += bin.at(1).get<std::int64_t>();
     }
--- a/scale/discovery_test_bed.hpp
+++ b/scale/discovery_test_bed.hpp
@@ -22,7 +22,7 @@
   std::int64_t count = 0;
   double p50_ms = 0;
   double p99_ms = 0;
-  double last_ms = 0;
+  double last_ms = 0;  // the maximum
 };
 
 class DiscoveryTestBed {
@@ -71,8 +71,8 @@
   std::int64_t SumOverFleets(const std::string& name, bool trim = false);
 
   Changes ChangesSince(std::int64_t generation);
-  // How long those changes took to take effect at sidecars, from the given times on. The fleets forget the
-  // changes recorded so far unless `keep`.
+  // How long those changes took to take effect at sidecars, from the given times on. The fleets then discard
+  // all recorded times unless `keep` is true.
   DelaySummary EffectDelays(const Changes& changes, bool keep = false);
   // How long sidecars took from their start or last reload to their first list, and to the first object of
   // the watch that follows it.
--- a/scale/experiment.cpp
+++ b/scale/experiment.cpp
@@ -40,7 +40,7 @@
   void Measure(Context& context, std::int64_t sidecars, std::int64_t relays, int repeat) {
     RelayedTestBed relayed(context, options_, relays, batch_ms_);
     DiscoveryTestBed& test_bed = relayed.test_bed;
-    const auto first = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
+    const auto generation_before = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
     test_bed.AddSidecars(sidecars);
     test_bed.AwaitWatches();
     const std::int64_t cpu = test_bed.SumOverFleets("cpu_us");
@@ -63,7 +63,7 @@
     const CpuTimes end_machine = ReadCpuTimes();
     experiment_->Evaluate(test_bed, sample.figures);
 
-    const auto changes = test_bed.ChangesSince(first);
+    const auto changes = test_bed.ChangesSince(generation_before);
     const double us = Increase(before, after, "at_us");
     const DelaySummary delays = test_bed.EffectDelays(changes);
     AddDelays("in_force", delays, sample.figures);
--- a/scale/experiment_discovery_restart.cpp
+++ b/scale/experiment_discovery_restart.cpp
@@ -18,7 +18,7 @@
     test_bed.SendCommand({{"do", "die"}});
     for (std::int64_t i = 0; i < changes_; ++i) {
       test_bed.ChangeServers(
-          {{"first", i % kDraining}, {"lifecycle", i / kDraining % 2 == 0 ? "draining" : "up"}});
+          {{"first", i % kChangedServers}, {"lifecycle", i / kChangedServers % 2 == 0 ? "draining" : "up"}});
       test_bed.Wait(down_s_ / static_cast<double>(changes_));
     }
     restarted_at_ = test_bed.SendCommand({{"do", "return"}}).at("at_us").get<Micros>();
@@ -31,7 +31,7 @@
   }
 
  private:
-  static constexpr std::int64_t kDraining = 10;  // number of servers that change
+  static constexpr std::int64_t kChangedServers = 10;
   const double down_s_;
   const std::int64_t changes_;
   std::int64_t generation_before_ = 0;
--- a/scale/experiment_reload.cpp
+++ b/scale/experiment_reload.cpp
@@ -16,7 +16,7 @@
 class Reload : public Experiment {
  public:
   void Run(DiscoveryTestBed& test_bed, std::map<std::string, double>&) override {
-    const auto before = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
+    const auto generation_before = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
     std::vector<std::string> addresses = test_bed.addresses();
     std::rotate(addresses.begin(), addresses.begin() + 1, addresses.end());
     test_bed.SetAddresses(std::move(addresses));
@@ -25,7 +25,7 @@
     const std::int64_t moving = test_bed.ChangeServers({{"first", 0}, {"lifecycle", "draining"}});
     test_bed.AwaitWatches();
     test_bed.ChangeServers({{"first", 1}, {"lifecycle", "draining"}});
-    while_moving_ = test_bed.ChangesSince(before);
+    while_moving_ = test_bed.ChangesSince(generation_before);
     std::erase_if(while_moving_, [moving](const auto& change) { return change.first > moving; });
     at_new_address_ = test_bed.ChangesSince(moving);
   }
--- a/scale/experiment_server_loss.cpp
+++ b/scale/experiment_server_loss.cpp
@@ -66,7 +66,7 @@
 
   static constexpr double kPause_s = 0.02;
   const std::int64_t servers_;
-  const std::int64_t in_object_;
+  const std::int64_t in_object_;  // servers that one object changes
   const double lost_s_;
   Phase lost_;
   Phase back_;
--- a/scale/fake_discovery.cpp
+++ b/scale/fake_discovery.cpp
@@ -247,17 +247,17 @@
     Tcp::socket filler(io_);
     filler.open(addresses_[region_number].protocol());
     filler.non_blocking(true);
-    filler.connect(addresses_[region_number], ignored);  // now, or as the first once the backlog has space
+    filler.connect(addresses_[region_number], ignored);  // at once, or first when the backlog has space
     region.fillers.push_back(std::move(filler));
     return;
   }
   region.fillers.clear();
   region.acceptor.non_blocking(true);
   // Connections established just before the partition are reset, as are the fillers.
-  for (ErrorCode none; !none;) {
+  for (ErrorCode error; !error;) {
     Tcp::socket stray(io_);
-    region.acceptor.accept(stray, none);
-    if (!none) stray.set_option(asio::socket_base::linger(true, 0), ignored);
+    region.acceptor.accept(stray, error);
+    if (!error) stray.set_option(asio::socket_base::linger(true, 0), ignored);
   }
   ::listen(region.acceptor.native_handle(), kBacklog);
   Accept(region_number);
--- a/scale/fake_discovery.hpp
+++ b/scale/fake_discovery.hpp
@@ -34,7 +34,7 @@
     Micros service_time_per_entry = 0;      // ... this for each entry in its response
     std::size_t queue = 100'000;            // calls that may wait; further calls get 503 at once
     Micros max_wait = 4'000'000;            // in the queue; after it a call gets 503
-    std::size_t history = 4096;             // changes that a watch may start behind the present
+    std::size_t history = 4096;             // past changes kept, to start watches without the full list
     Micros heartbeat_interval = 2'000'000;  // between heartbeats on a watch
   };
   // Totals since the start, except `watches`.
@@ -89,7 +89,7 @@
     explicit Region(asio::io_context& io) : acceptor(io) {}
     Tcp::acceptor acceptor;
     std::unordered_set<ConnectionPtr> connections;
-    std::vector<Tcp::socket> fillers;  // keep the backlog full while the region is cut off
+    std::vector<Tcp::socket> fillers;  // keep the backlog full while partitioned
     bool partitioned = false;
   };
   struct Call {
--- a/scale/fan_out.cpp
+++ b/scale/fan_out.cpp
@@ -120,7 +120,7 @@
     }
 
     void MeasureSingleChanges(const Snapshot& before, double bytes_without_watches) {
-      const auto first = before.upstream.at("generation").get<std::int64_t>();
+      const auto generation_before = before.upstream.at("generation").get<std::int64_t>();
       for (std::int64_t i = 0; i < step_.changes_; ++i) {
         ChangeNextServer(i);
         test_bed_.Wait(step_.between_s_);
@@ -140,14 +140,14 @@
         figures["relay_memory_bytes_per_watch"] =
             (bytes - bytes_without_watches) / static_cast<double>(watches_);
       }
-      AddDelays("in_force", test_bed_.EffectDelays(test_bed_.ChangesSince(first)), figures);
+      AddDelays("in_force", test_bed_.EffectDelays(test_bed_.ChangesSince(generation_before)), figures);
       Record("fan_out", std::move(figures));
     }
 
     // Many servers change one by one in a short time, as after a region has been healed.
     void MeasureBurst() {
       const Snapshot before = TakeSnapshot();
-      const auto first = before.upstream.at("generation").get<std::int64_t>();
+      const auto generation_before = before.upstream.at("generation").get<std::int64_t>();
       const auto begin = Clock::now();
       for (std::int64_t i = 0; i < step_.burst_; ++i) {
         ChangeNextServer(step_.changes_ + i);
@@ -172,7 +172,7 @@
           {"told_within_ms", sent.count()},
           {"all_in_force_within_ms", all.count()}};
       if (relay_tier_) figures["relay_cpu_us"] = RelayUsage(before, after, "cpu_us");
-      AddDelays("in_force", test_bed_.EffectDelays(test_bed_.ChangesSince(first)), figures);
+      AddDelays("in_force", test_bed_.EffectDelays(test_bed_.ChangesSince(generation_before)), figures);
       Record("fan_out_burst", std::move(figures));
     }
 
--- a/scale/fleet_process.hpp
+++ b/scale/fleet_process.hpp
@@ -15,8 +15,8 @@
 //   object of a watch since their start or last reload ("settled"), and of those that use that generation or
 //   a later one ("at"), and resource usage.
 // - "force": changes (pairs of a generation and the time of the change), keep. Returns "tenths_ms": pairs of
-//   a delay, from a change until it takes effect, and the number of sidecars with that delay. Forgets the
-//   recorded times unless "keep" is set.
+//   a delay, from a change until it takes effect, and the number of sidecars with that delay. Discards all
+//   recorded times unless "keep" is true.
 // - "joined", "watching": region. Return "tenths_ms" likewise, with the delay from a sidecar's start or last
 //   reload to its first list, or to the first object of the watch that follows it.
 int RunFleetProcess(std::uint16_t port);
--- a/scale/known_servers.cpp
+++ b/scale/known_servers.cpp
@@ -22,7 +22,8 @@
 namespace http = net::http;
 using net::ErrorCode;
 
-constexpr auto kPollInterval = std::chrono::milliseconds(25);  // several hundred may share the machine
+// Several hundred sidecars may share the machine.
+constexpr auto kPollInterval = std::chrono::milliseconds(25);
 constexpr auto kResponseTimeout = std::chrono::seconds(1);
 
 }  // namespace
--- a/scale/known_servers.hpp
+++ b/scale/known_servers.hpp
@@ -16,7 +16,7 @@
 // Polls each management endpoint, with a pause between, until it reports the expected number of servers.
 class KnownServersPoller {
  public:
-  // Calls `on_reached` once for each endpoint. The loop must outlive this object.
+  // Calls `on_reached` once for each endpoint. `io` must outlive this object.
   KnownServersPoller(net::asio::io_context& io, const std::vector<net::Tcp::endpoint>& endpoints,
                      std::size_t expected, const std::function<void()>& on_reached);
   // Stops polling.
--- a/scale/list_size.cpp
+++ b/scale/list_size.cpp
@@ -46,19 +46,20 @@
     const std::int64_t end_cpu = test_bed.SumOverFleets("cpu_us");
     const auto end = test_bed.DiscoveryCounts();
 
-    const auto each = static_cast<double>(sidecars_);
-    const double all_s = static_cast<double>(test_bed.sidecars()) * 1e-6 * Increase(idle_start, end, "at_us");
+    const auto sidecar_count = static_cast<double>(sidecars_);
+    const double sidecar_seconds =
+        static_cast<double>(test_bed.sidecars()) * 1e-6 * Increase(idle_start, end, "at_us");
     Sample sample;
     sample.measure = "list_size";
     sample.repeat = repeat;
     sample.conditions = {{"listed", static_cast<double>(listed)}};
     sample.figures = {
-        {"memory_bytes_per_sidecar", static_cast<double>(started_memory - memory) / each},
-        {"start_cpu_us", static_cast<double>(started_cpu - cpu) / each},
-        {"start_bytes_in", Increase(before, started, "bytes_out") / each},
-        {"start_bytes_out", Increase(before, started, "bytes_in") / each},
-        {"idle_cpu_us_per_s", static_cast<double>(end_cpu - idle_start_cpu) / all_s},
-        {"beat_bytes_in_per_s", Increase(idle_start, end, "bytes_out") / all_s},
+        {"memory_bytes_per_sidecar", static_cast<double>(started_memory - memory) / sidecar_count},
+        {"start_cpu_us", static_cast<double>(started_cpu - cpu) / sidecar_count},
+        {"start_bytes_in", Increase(before, started, "bytes_out") / sidecar_count},
+        {"start_bytes_out", Increase(before, started, "bytes_in") / sidecar_count},
+        {"idle_cpu_us_per_s", static_cast<double>(end_cpu - idle_start_cpu) / sidecar_seconds},
+        {"beat_bytes_in_per_s", Increase(idle_start, end, "bytes_out") / sidecar_seconds},
     };
     context.recorder.Add(std::move(sample));
   }
--- a/scale/real_sidecar.cpp
+++ b/scale/real_sidecar.cpp
@@ -49,8 +49,8 @@
   address = acceptor.local_endpoint();
 }
 
-RealSidecar::RealSidecar(const SidecarOptions& options) : options_(options), listen_(unused_) {
-  if (options_.management) management_.emplace(unused_);
+RealSidecar::RealSidecar(const SidecarOptions& options) : options_(options), listen_(acceptor_io_) {
+  if (options_.management) management_.emplace(acceptor_io_);
   WriteConfiguration();
   Child::Options child;
   child.program = options_.program;
--- a/scale/real_sidecar.hpp
+++ b/scale/real_sidecar.hpp
@@ -54,7 +54,7 @@
   void WriteConfiguration() const;
 
   SidecarOptions options_;
-  net::asio::io_context unused_;  // for the acceptors; never run
+  net::asio::io_context acceptor_io_;  // required by the acceptors, never run
   ReservedPort listen_;
   std::optional<ReservedPort> management_;
   std::unique_ptr<Child> child_;
--- a/scale/reload.cpp
+++ b/scale/reload.cpp
@@ -55,7 +55,7 @@
       : counts_(parameters.Integers("sidecars", {2, 8, 32, 128, 200}, 1, 250)),
         servers_(static_cast<int>(parameters.Integer("servers", 20, 1, 200))),
         rate_(parameters.Number("calls_per_s", 5, 0.1, 1000)),
-        load_(parameters.Number("load_s", 1, 0.2, 600)),
+        load_time_(parameters.Number("load_s", 1, 0.2, 600)),
         server_processes_(static_cast<int>(parameters.Integer("server_processes", 4, 1, 16))) {}
 
   ResourceRequirements Requirements() const override {
@@ -82,10 +82,10 @@
   }
 
  private:
-  // Runs the loop for `load_` and returns the CPU time that the sidecars used in it.
+  // Runs the loop for `load_time_` and returns the CPU time that the sidecars used in it.
   double MeasureCpu(net::asio::io_context& io, const RealSidecars& sidecars) const {
     const std::int64_t before = sidecars.cpu_us();
-    RunFor(io, Nanoseconds(load_));
+    RunFor(io, Nanoseconds(load_time_));
     return static_cast<double>(sidecars.cpu_us() - before);
   }
 
@@ -107,7 +107,7 @@
     const auto all = static_cast<std::size_t>(count);
 
     std::vector<std::unique_ptr<Caller>> callers = StartCallers(io, sidecars, seed);
-    RunFor(io, Nanoseconds(load_));  // connections are established first
+    RunFor(io, Nanoseconds(load_time_));  // connections are established first
     const double baseline_cpu = MeasureCpu(io, sidecars);
     DelayRecorder watching;
     const std::int64_t cpu_before = sidecars.cpu_us();
@@ -117,7 +117,7 @@
       while (watching.count() < after.discovery_counts().watches) watching.Add();
       return watching.count() >= all;
     });
-    RunFor(io, Nanoseconds(load_));  // work of the reload may follow the opening of the watch
+    RunFor(io, Nanoseconds(load_time_));  // work of the reload may follow the opening of the watch
     const std::chrono::duration<double> span = watching.since_start();
     const double reload_cpu = static_cast<double>(sidecars.cpu_us() - cpu_before);
 
@@ -125,8 +125,8 @@
     took_effect.Begin();
     after.Change({change});
     {
-      const KnownServersPoller watch(io, ManagementEndpoints(sidecars), addresses.size() + 1,
-                                     [&] { took_effect.Add(); });
+      const KnownServersPoller poller(io, ManagementEndpoints(sidecars), addresses.size() + 1,
+                                      [&] { took_effect.Add(); });
       Await(io, context, "apply the change", [&] { return took_effect.count() >= all; });
     }
     for (const auto& caller : callers) caller->Stop();
@@ -137,21 +137,22 @@
     CallResults calls;
     for (const auto& caller : callers) calls += caller->results();
 
-    const auto each = static_cast<double>(count);
-    Sample sample{"reload", {{"sidecars", each}}, {}, repeat};
+    const auto sidecar_count = static_cast<double>(count);
+    Sample sample{"reload", {{"sidecars", sidecar_count}}, {}, repeat};
     watching.Record("watching", sample.figures);
     took_effect.Record("in_force", sample.figures);
     const std::uint64_t lost = calls.counts.sent - calls.counts.served;
-    sample.figures["cpu_us_per_reload"] = (reload_cpu - baseline_cpu * (span / load_)) / each;
+    sample.figures["cpu_us_per_reload"] = (reload_cpu - baseline_cpu * (span / load_time_)) / sidecar_count;
     sample.figures["calls"] = static_cast<double>(calls.counts.sent);
     sample.figures["unserved_calls"] = static_cast<double>(lost);
     sample.figures["watches"] = static_cast<double>(after.discovery_counts().watches);
     sample.figures["watches_left_behind"] = static_cast<double>(before.discovery_counts().watches);
-    sample.figures["discovery_calls_per_reload"] = static_cast<double>(after.discovery_counts().calls) / each;
+    sample.figures["discovery_calls_per_reload"] =
+        static_cast<double>(after.discovery_counts().calls) / sidecar_count;
     sample.figures["discovery_bytes_out_per_reload"] =
-        static_cast<double>(after.discovery_counts().bytes_out) / each;
+        static_cast<double>(after.discovery_counts().bytes_out) / sidecar_count;
     context.recorder.Add(std::move(sample));
-    if (lost > 0) CheckServed("during a reload", calls.counts, /*most_unserved=*/0);
+    if (lost > 0) CheckServed("during a reload", calls.counts, /*max_unserved_share=*/0);
   }
 
   std::vector<std::unique_ptr<Caller>> StartCallers(net::asio::io_context& io, const RealSidecars& sidecars,
@@ -186,7 +187,7 @@
   const std::vector<std::int64_t> counts_;
   const int servers_;
   const double rate_;  // per sidecar
-  const std::chrono::duration<double> load_;
+  const std::chrono::duration<double> load_time_;
   const int server_processes_;
 };
 
--- a/scale/remote_servers.cpp
+++ b/scale/remote_servers.cpp
@@ -34,8 +34,8 @@
                                                     std::size_t first) {
   std::vector<net::Tcp::endpoint> addresses;
   for (std::size_t i = 0; i < servers.size(); ++i) {
-    const json answer = processes_[(first + i) % processes_.size()]->Execute(OpenCommand(servers[i]));
-    const auto address = net::ParseAddress(answer.at("address").get<std::string>());
+    const json reply = processes_[(first + i) % processes_.size()]->Execute(OpenCommand(servers[i]));
+    const auto address = net::ParseAddress(reply.at("address").get<std::string>());
     if (!address) throw std::runtime_error("a server process returned no valid address");
     addresses.push_back(*address);
   }
@@ -45,13 +45,13 @@
 ServerCounts RemoteServers::counts() {
   ServerCounts sum;
   for (const auto& process : processes_) {
-    const json answer = process->Execute({{"do", "counts"}});
+    const json reply = process->Execute({{"do", "counts"}});
     ServerCounts counts;
-    counts.taken = answer.at("taken").get<std::uint64_t>();
-    counts.served = answer.at("served").get<std::uint64_t>();
-    counts.declined = answer.at("declined").get<std::uint64_t>();
-    counts.failed = answer.at("failed").get<std::uint64_t>();
-    counts.invalid = answer.at("invalid").get<std::uint64_t>();
+    counts.taken = reply.at("taken").get<std::uint64_t>();
+    counts.served = reply.at("served").get<std::uint64_t>();
+    counts.declined = reply.at("declined").get<std::uint64_t>();
+    counts.failed = reply.at("failed").get<std::uint64_t>();
+    counts.invalid = reply.at("invalid").get<std::uint64_t>();
     sum += counts;
   }
   return sum;
@@ -60,11 +60,11 @@
 std::map<std::string, double> RemoteServers::LatenessFigures() {
   std::map<std::string, double> figures;
   for (const auto& process : processes_) {
-    const json answer = process->Execute({{"do", "counts"}});
+    const json reply = process->Execute({{"do", "counts"}});
     for (const char* name : {"late_p50_ms", "late_p99_ms"}) {
-      if (!answer.contains(name)) continue;
+      if (!reply.contains(name)) continue;
       double& figure = figures[std::string("server_") + name];
-      figure = std::max(figure, answer.at(name).get<double>());
+      figure = std::max(figure, reply.at(name).get<double>());
     }
   }
   return figures;
--- a/scale/server_process.hpp
+++ b/scale/server_process.hpp
@@ -6,11 +6,11 @@
 
 namespace merlinrun::scale {
 
-// Connects to this loopback port and executes the commands that the parent process sends, until the
-// connection is closed. Commands, by the value of "do":
-// - "open": starts a server with "service_us", "exponential", "seed" and "onward" (addresses); answers with
+// Executes the commands of the run, which listens for this process on that loopback port, until the run
+// closes the connection. Commands, by the value of "do":
+// - "open": starts a server with "service_us", "exponential", "seed" and "onward" (addresses); returns
 //   its "address"
-// - "counts": answers with the sums over all servers of "taken", "served", "declined", "failed", "invalid"
+// - "counts": returns the sums over all servers of "taken", "served", "declined", "failed", "invalid"
 //   and "held" (open requests), and with the resource usage of the process. Once a service time has ended,
 //   also with quantiles of the delay with which the event loop handled that: "late_p50_ms" and "late_p99_ms"
 int RunServerProcess(std::uint16_t port);
--- a/scale/simulated_and_real.cpp
+++ b/scale/simulated_and_real.cpp
@@ -150,15 +150,15 @@
     const std::int64_t memory = sidecars_under_test.memory_bytes();
 
     const Micros idle_from = SteadyNow();
-    const std::int64_t idle_cpu = sidecars_under_test.cpu_us();
+    const std::int64_t cpu_before_idle = sidecars_under_test.cpu_us();
     WaitFor(context, std::chrono::duration<double>(idle_s_));
     const Micros changes_from = SteadyNow();
-    const std::int64_t changes_cpu = sidecars_under_test.cpu_us();
-    const double idle = PerUs(changes_cpu - idle_cpu, changes_from - idle_from);
+    const std::int64_t cpu_before_changes = sidecars_under_test.cpu_us();
+    const double idle_cpu_per_us = PerUs(cpu_before_changes - cpu_before_idle, changes_from - idle_from);
     ApplyChanges(context, discovery, listed);
     WaitFor(context, kSettleTime);
-    const double changed = static_cast<double>(sidecars_under_test.cpu_us() - changes_cpu) -
-                           idle * static_cast<double>(SteadyNow() - changes_from);
+    const double cpu_of_changes = static_cast<double>(sidecars_under_test.cpu_us() - cpu_before_changes) -
+                                  idle_cpu_per_us * static_cast<double>(SteadyNow() - changes_from);
     if (context.should_stop()) return;
 
     const auto measured = static_cast<double>(sidecars_under_test.sidecars());
@@ -170,10 +170,11 @@
     sample.figures = {
         {"memory_bytes_per_sidecar", static_cast<double>(memory) / measured},
         {"start_cpu_us",
-         (static_cast<double>(start_cpu) - idle * static_cast<double>(idle_from - started_at)) / measured},
+         (static_cast<double>(start_cpu) - idle_cpu_per_us * static_cast<double>(idle_from - started_at)) /
+             measured},
         {"start_bytes_in", counts.at("bytes_out").get<double>() / running},
-        {"idle_cpu_us_per_s", 1e6 * idle / running},
-        {"cpu_us_per_change", changed / running / static_cast<double>(changes_)},
+        {"idle_cpu_us_per_s", 1e6 * idle_cpu_per_us / running},
+        {"cpu_us_per_change", cpu_of_changes / running / static_cast<double>(changes_)},
     };
     context.recorder.Add(std::move(sample));
   }
--- a/scale/watches.cpp
+++ b/scale/watches.cpp
@@ -36,7 +36,7 @@
     DiscoveryTestBed test_bed(context, {listed_, regions_, fleets_});
     const auto without_watches = test_bed.DiscoveryCounts(/*trim=*/true);
     test_bed.AddSidecars(watches);
-    const auto first = without_watches.at("generation").get<std::int64_t>();
+    const auto generation_before = without_watches.at("generation").get<std::int64_t>();
     test_bed.AwaitWatches();
     const auto with_watches = test_bed.DiscoveryCounts(/*trim=*/true);
     const auto idle_start = test_bed.DiscoveryCounts();
@@ -67,7 +67,7 @@
          (Increase(before, after, "cpu_us") - heartbeat_us) / static_cast<double>(changes_)},
         {"bytes_out_per_change", Increase(before, after, "bytes_out") / static_cast<double>(changes_)},
     };
-    AddDelays("in_force", test_bed.EffectDelays(test_bed.ChangesSince(first)), sample.figures);
+    AddDelays("in_force", test_bed.EffectDelays(test_bed.ChangesSince(generation_before)), sample.figures);
     context.recorder.Add(std::move(sample));
   }
 
--- a/tests/scale/discovery_test_bed_test.cpp
+++ b/tests/scale/discovery_test_bed_test.cpp
@@ -91,7 +91,7 @@
   options.regions = 2;
   options.fleets = 2;
   DiscoveryTestBed test_bed(context, options);
-  const auto first = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
+  const auto generation_before = test_bed.DiscoveryCounts().at("generation").get<std::int64_t>();
   test_bed.AddSidecars(7);
   test_bed.AwaitWatches();
   EXPECT_EQ(test_bed.FirstListDelays().count, 7);
@@ -100,10 +100,10 @@
   const std::int64_t last =
       test_bed.ChangeServers({{"first", 0}, {"count", 2}, {"stride", 37}, {"lifecycle", "removed"}});
   test_bed.AwaitEffect(last);
-  const auto changes = test_bed.ChangesSince(first);
+  const auto changes = test_bed.ChangesSince(generation_before);
   ASSERT_EQ(changes.size(), 2U);
   EXPECT_EQ(test_bed.EffectDelays(changes).count, 14);
-  EXPECT_EQ(test_bed.EffectDelays(changes).count, 0);  // forgotten after the first call
+  EXPECT_EQ(test_bed.EffectDelays(changes).count, 0);  // discarded by the first call
   test_bed.RemoveSidecars(0);
   test_bed.AddSidecars(1, 0);
   test_bed.AwaitEffect(last);
@@ -256,12 +256,12 @@
   EXPECT_THROW(test_bed.Wait(10), Interrupted);
 }
 
-TEST_F(RigTest, AskThrowsForAFailedCommandAndAfterTheEndOfTheProcess) {
-  WorkerProcess part(kDiscoveryProcess, {});
-  EXPECT_THROW(part.Execute({{"do", "counts"}}), std::runtime_error);  // no "open" before
-  EXPECT_NO_THROW(part.Execute({{"do", "open"}}));
-  part.child().Signal(SIGKILL);
-  EXPECT_THROW(part.Execute({{"do", "counts"}}), std::runtime_error);
+TEST_F(RigTest, ExecuteThrowsForAFailedCommandAndAfterTheEndOfTheProcess) {
+  WorkerProcess worker(kDiscoveryProcess, {});
+  EXPECT_THROW(worker.Execute({{"do", "counts"}}), std::runtime_error);  // no "open" before
+  EXPECT_NO_THROW(worker.Execute({{"do", "open"}}));
+  worker.child().Signal(SIGKILL);
+  EXPECT_THROW(worker.Execute({{"do", "counts"}}), std::runtime_error);
 }
 
 }  // namespace
--- a/tests/scale/fake_discovery_test.cpp
+++ b/tests/scale/fake_discovery_test.cpp
@@ -153,10 +153,10 @@
   Start();
   for (int i = 0; i < 5; ++i) AddClient().discovery.Watch();
   ASSERT_TRUE(AwaitWatches(5));
-  const std::uint64_t made = fake_discovery->objects_serialized();
+  const std::uint64_t serialized = fake_discovery->objects_serialized();
   const std::uint64_t written = fake_discovery->counts().objects;
   fake_discovery->Change({Server(1, Entry::Lifecycle::kDraining)});
-  EXPECT_EQ(fake_discovery->objects_serialized(), made + 1);
+  EXPECT_EQ(fake_discovery->objects_serialized(), serialized + 1);
   EXPECT_EQ(fake_discovery->counts().objects, written + 5);
   EXPECT_TRUE(RunUntil(io, [&] {
     return std::all_of(clients.begin(), clients.end(), [&](const auto& c) {
@@ -240,13 +240,13 @@
   EXPECT_EQ(partitioned.lists.size(), 2U);
   EXPECT_EQ(partitioned.failures, 0);
 
-  bool up = false;
+  bool established = false;
   Tcp::socket late(io);
-  late.async_connect(fake_discovery->addresses()[1], [&](net::ErrorCode error) { up = !error; });
+  late.async_connect(fake_discovery->addresses()[1], [&](net::ErrorCode error) { established = !error; });
   RunFor(io, 200ms);
-  EXPECT_FALSE(up);
+  EXPECT_FALSE(established);
   fake_discovery->SetPartitioned(1, false);
-  EXPECT_TRUE(RunUntil(io, [&] { return up; }));  // by a retransmission of the kernel
+  EXPECT_TRUE(RunUntil(io, [&] { return established; }));  // by a retransmission of the kernel
   Client& later = AddClient(1);
   later.discovery.Watch();
   ASSERT_TRUE(RunUntil(io, [&] { return !later.lists.empty(); }));
--- a/tests/scale/remote_servers_test.cpp
+++ b/tests/scale/remote_servers_test.cpp
@@ -91,7 +91,7 @@
   ASSERT_TRUE(RunUntil(
       io, [&] { return after.discovery_counts().watches == 2; }, kTimeout));
   int notified = 0;
-  const KnownServersPoller watch(io, management_addresses, 3, [&] { ++notified; });
+  const KnownServersPoller poller(io, management_addresses, 3, [&] { ++notified; });
   RunFor(io, std::chrono::milliseconds(100));
   EXPECT_EQ(notified, 0);
   after.Change({third});
