--- a/scale/call_plan.hpp
+++ b/scale/call_plan.hpp
@@ -17,7 +17,7 @@
 
 struct CallPlan {
   ServerSettings server;     // the same for each server
-  int server_processes = 4;  // child processes that the servers are spread over
+  int server_processes = 4;  // worker processes that the servers are spread over
   PairedPlan paired;
 
   // Reads "service_us", "exponential", "server_processes" and the keys of PairedPlan.
--- a/scale/discovery_process.hpp
+++ b/scale/discovery_process.hpp
@@ -1,4 +1,4 @@
-// The fake discovery in a process of its own, so that its CPU time and memory can be measured separately.
+// The fake discovery in a worker process, so that its CPU time and memory can be measured separately.
 #ifndef MERLINRUN_SCALE_DISCOVERY_PROCESS_HPP_
 #define MERLINRUN_SCALE_DISCOVERY_PROCESS_HPP_
 
--- a/scale/discovery_test_bed.hpp
+++ b/scale/discovery_test_bed.hpp
@@ -1,4 +1,4 @@
-// The test bed of a step: the fake discovery and fleets of simulated sidecars, each in a process of its own.
+// The test bed of a step: the fake discovery and fleets of simulated sidecars, each in a worker process.
 #ifndef MERLINRUN_SCALE_DISCOVERY_TEST_BED_HPP_
 #define MERLINRUN_SCALE_DISCOVERY_TEST_BED_HPP_
 
--- a/scale/fleet_process.hpp
+++ b/scale/fleet_process.hpp
@@ -1,4 +1,4 @@
-// Simulated sidecars in a process of their own.
+// Simulated sidecars in a worker process.
 #ifndef MERLINRUN_SCALE_FLEET_PROCESS_HPP_
 #define MERLINRUN_SCALE_FLEET_PROCESS_HPP_
 
--- a/scale/remote_servers.hpp
+++ b/scale/remote_servers.hpp
@@ -1,4 +1,4 @@
-// Fake servers in child processes, so that the callers in this process and the servers do not delay each
+// Fake servers in worker processes, so that the callers in this process and the servers do not delay each
 // other.
 #ifndef MERLINRUN_SCALE_REMOTE_SERVERS_HPP_
 #define MERLINRUN_SCALE_REMOTE_SERVERS_HPP_
--- a/scale/server_process.hpp
+++ b/scale/server_process.hpp
@@ -1,4 +1,4 @@
-// The child process that runs fake servers; see RemoteServers.
+// Fake servers in a worker process; see RemoteServers.
 #ifndef MERLINRUN_SCALE_SERVER_PROCESS_HPP_
 #define MERLINRUN_SCALE_SERVER_PROCESS_HPP_
 
--- a/tests/scale/remote_servers_test.cpp
+++ b/tests/scale/remote_servers_test.cpp
@@ -1,4 +1,4 @@
-// Tests of fake servers in child processes, and of real sidecars that are given another discovery address.
+// Tests of fake servers in worker processes, and of real sidecars that are given another discovery address.
 #include "scale/remote_servers.hpp"
 
 #include <gtest/gtest.h>
