--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -110,24 +110,27 @@
   // attempt may still be running.
   Micros settle_after_doubt = 0;
 
-  // Costs, as shares of the overall score of the deployment.
-  double cost_cross_zone = 0;  // of requests to another zone
-  double cost_waste = 0;       // of server work whose answers come too late
-  double cost_connection = 0;  // of open connections
-  double cost_late_fail = 0;
-  double cost_handshake = 0;
-  double cost_probe = 0;      // of one probe per request
-  double cost_peer = 0;       // of 256 bytes delivered to peers per request
-  double cost_discovery = 0;  // of 100 lines of the server list per request
-  double cost_moves = 0;
-  double cost_origin = 0;
+  // Costs: points taken off the overall result of the deployment, each multiplied by the share or rate named
+  // here. A first try is the first attempt of a request. The balancer uses only the first three.
+  double cost_cross_zone = 0;  // attempts that cross zones, per first try
+  double cost_waste = 0;       // share of the server work that yields no answer
+  double cost_connection = 0;  // average number of open connections / (100 * servers)
+  double cost_late_fail = 0;   // value left unserved after its latency target had passed
+  double cost_handshake = 0;   // new connections per first try
+  double cost_probe = 0;       // probes per first try
+  double cost_peer = 0;        // bytes delivered to peers / (256 * first tries)
+  double cost_discovery = 0;   // lines of the server list per first try; in full at 100; key membership_mode
+  double cost_moves = 0;       // moves per first try
+  double cost_origin = 0;      // fetches from the origin per first try
 
-  // The weights of the parts of the overall score.
-  double goal_whole = 1;
-  double goal_worst_window = 0;
-  double goal_worst_class = 0;
-  double goal_worst_tenant = 0;
-  bool value_by_work = false;  // RequestClass::value is per unit of work, not per request
+  // The weights of the parts of the overall result. Not used by the balancer.
+  double goal_whole = 1;         // of the whole run
+  double goal_worst_10_s = 0;    // of the worst 10 seconds
+  double goal_worst_class = 0;   // of the worst class
+  double goal_worst_tenant = 0;  // of the worst tenant, within its share
+  bool value_by_work = false;    // RequestClass::value is per unit of work, not per request
+  // The value of a request beyond its tenant's share, as a fraction of the value of its class. Not used by
+  // the balancer.
   double over_share_value = 1;
 };
 
--- a/src/drill/host.hpp
+++ b/src/drill/host.hpp
@@ -31,6 +31,8 @@
 
  private:
   class Instance;
+  // A table is a list of servers: a TABLE line clears it, ROW lines fill it, and DISCOVERY lines refer to it.
+  // The lines give its number in their field `page`, by which error texts name it too.
   static constexpr std::size_t kTables = 16;
 
   // A server as the protocol lists it. Each instance maps the names of zone and machine type to its own
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -253,7 +253,7 @@
   s.cost_moves = pairs.Number("costs.moves", 0);
   s.cost_origin = pairs.Number("costs.origin", 0);
   s.goal_whole = pairs.Number("goal.whole", 1);
-  s.goal_worst_window = pairs.Number("goal.worst_window", 0);
+  s.goal_worst_10_s = pairs.Number("goal.worst_window", 0);
   s.goal_worst_class = pairs.Number("goal.worst_class", 0);
   s.goal_worst_tenant = pairs.Number("goal.worst_tenant", 0);
   s.value_by_work = pairs.Text("value_by", "request") == "work";
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -1,5 +1,7 @@
-// Parsers of the simulator's line protocol: the fields of a line and the settings. The sidecar reads the same
-// settings from its configuration.
+// Parsers of the simulator's line protocol: the fields of a line and the settings.
+//
+// The namespace `drill` is the adapter through which a simulator runs the balancer. The sidecar's
+// configuration uses the same parser of settings.
 #ifndef MERLINRUN_DRILL_WIRE_HPP_
 #define MERLINRUN_DRILL_WIRE_HPP_
 
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -49,7 +49,7 @@
     // The watch ended or could not be opened. Watch has to be called again within this many microseconds, as
     // missed changes take effect soon after, received or not.
     std::function<void(Micros within)> on_failed;
-    // Optional: an object that has been accepted, unchanged, right before `on_list`.
+    // Optional: called right before `on_list` with the JSON object that the list was read from, as received.
     std::function<void(const nlohmann::json&)> on_object{};
     // Optional: part of an answer has been received, be it only a blank line.
     std::function<void()> on_data{};
--- a/src/net/idle.hpp
+++ b/src/net/idle.hpp
@@ -23,9 +23,9 @@
   void Record(Micros idle, bool lost, Micros now) {
     if (now >= limit_until_) LiftLimit();
     const double sample = lost ? 1 : 0;
-    if (idle <= 0) return Average(fresh_loss_, sample);
+    if (idle <= 0) return AddSample(fresh_loss_, sample);
     const std::size_t step = StepOf(idle);
-    Average(reused_loss_[step], sample);
+    AddSample(reused_loss_[step], sample);
     if (reused_loss_[step] - fresh_loss_ < kMaxExcessLoss || MinIdle(step) >= limit_) return;
     limit_ = MinIdle(step);
     limit_until_ = now + kLimitDuration;
@@ -46,7 +46,7 @@
   // How long a limit lasts before reuse is tried again.
   static constexpr Micros kLimitDuration = 60'000'000;
 
-  static void Average(double& rate, double sample) { rate += (sample - rate) / kAveragedUses; }
+  static void AddSample(double& rate, double sample) { rate += (sample - rate) / kAveragedUses; }
   // The shortest idle time of a step.
   static Micros MinIdle(std::size_t step) { return step == 0 ? 0 : kFirstStep << (step - 1); }
 
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -52,9 +52,9 @@
 constexpr Micros kDrainPoll = 20 * kMs;
 // The longest time that a streamed body may take in all; the connections enforce its minimum rate.
 constexpr Micros kMaxUpload = 600 * kSecond;
-// How often the shared directory is read. Changes by another process must take effect here within 1 s.
+// How often the shared folder is read. Changes by another process must take effect here within 1 s.
 constexpr auto kSharedDirPollInterval = std::chrono::milliseconds(200);
-constexpr int kPollsPerHandover = 5;  // shared directory polls between two writes of the handover file
+constexpr int kPollsPerHandover = 5;  // polls of the shared folder between two writes of the handover file
 // Unsuccessful answers are logged at most once in this interval, and not at all while there are none.
 constexpr auto kLogInterval = std::chrono::seconds(1);
 
@@ -639,6 +639,7 @@
   asio::post(io_, [this] { discovery_.Watch(); });
 }
 
+// The balancer's log lines have the prefix "module:".
 void Sidecar::Log(std::string_view text) {
   std::fprintf(stderr, "module: %.*s\n", static_cast<int>(std::min<std::size_t>(text.size(), 400)),
                text.data());
@@ -702,7 +703,7 @@
 void Sidecar::ShutDownGracefully() {
   const Micros now = Now();
   const bool over = now >= drain_end_;
-  if (over && !std::exchange(expedited_, true)) ExpeditePendingRequests();
+  if (over && !std::exchange(pending_requests_expired_, true)) ExpirePendingRequests();
   if (over || !config_.accept_fd) {
     inbound_->CloseIdle(0, 0);
   } else {
@@ -718,7 +719,7 @@
 
 // Ends the requests that would outlast the process, which is killed soon: a failure answer now is better
 // than none.
-void Sidecar::ExpeditePendingRequests() {
+void Sidecar::ExpirePendingRequests() {
   std::vector<std::string> ids;
   for (auto& [id, pending] : pending_requests_) {
     pending.deadline = drain_end_;
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -136,7 +136,7 @@
   // Reads the state that the processes of this sidecar share, applies it, and schedules the next poll.
   void PollSharedDir();
   void ShutDownGracefully();
-  void ExpeditePendingRequests();
+  void ExpirePendingRequests();
 
   asio::io_context& io_;
   Config config_;
@@ -160,8 +160,8 @@
   std::map<std::string_view, int> unsuccessful_;  // by reason, since the last log line
   std::uint64_t started_by_last_log_ = 0;         // requests started until the last log line
   std::function<void()> on_drained_;
-  Micros drain_end_ = 0;    // 0 unless draining
-  bool expedited_ = false;  // ExpeditePendingRequests has been called
+  Micros drain_end_ = 0;                   // 0 unless draining
+  bool pending_requests_expired_ = false;  // ExpirePendingRequests has been called
 };
 
 }  // namespace merlinrun::net
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -543,7 +543,7 @@
   ++attempts_started_;
   const auto found = servers_.find(id);
   if (found == servers_.end() || !found->second->Available()) {
-    CountFailure(FailureCause::kNotListed, id);
+    CountFailure(FailureCause::kNotAvailable, id);
     return FailLater(std::move(events.done));
   }
   const std::shared_ptr<Server> server = found->second;
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -83,7 +83,7 @@
 
   // Why an attempt ended without a valid answer; counted for the log.
   enum class FailureCause {
-    kNotListed,         // the server is draining, gone or administratively down
+    kNotAvailable,      // the server is not listed, draining, gone or administratively down
     kConnectionLimit,   // all allowed connections are busy
     kDialRefused,       // the connection was refused or could not be opened
     kDialTimeout,       // the connection was not established within the dial timeout
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -525,8 +525,8 @@
     pool.concurrency_limited = HasConcurrencyLimit(pool);
   }
 
-  // Admits the work of the highest value per unit, up to the admission of the pool. A class at the margin is
-  // admitted in part, at random.
+  // Admits the classes in the order of their value per unit of work, until the pool's admitted share of the
+  // arriving work is used up. Of the class that reaches this limit a random part is admitted.
   bool PoolAdmits(const Pool& pool, std::size_t class_index, bool already_late) {
     const double admission = std::min(pool.admission, ConcurrencyAdmission(pool));
     if (admission >= 1) return true;
@@ -661,7 +661,7 @@
     server.failure_rates.resize(class_loads_.size());
     double& failure_rate = server.failure_rates[request.request_class];
     if (outcome.result == Result::kError || unanswered)
-      failure_rate += (kMaxSkipShare - failure_rate) / kErrorMemory;
+      failure_rate += (kMaxSkipShare - failure_rate) / kFailureMemory;
     if (outcome.result == Result::kSuccess) failure_rate -= failure_rate / kSuccessMemory;
     if (outcome.result == Result::kError) return;
     server.refusal_rates.resize(class_loads_.size());
--- a/src/records.hpp
+++ b/src/records.hpp
@@ -89,7 +89,7 @@
   double unloaded_latency_ratio = 1e9;  // the lowest mean latency ratio seen
   double latency_samples = 0;           // answers in latency_ratio
   double consecutive_late = 0;          // outcomes in a row that were late or refused
-  Micros last_signal_at = 0;            // when the last outcome changed the admission
+  Micros last_signal_at = 0;  // when an outcome, or a latency target that passed, last updated the admission
 
   Server& InWindow(std::size_t i) const { return *ring[(window_offset + i) % ring.size()]; }
   // Add and Remove find the position by binary search and shift the pointers behind it.
@@ -153,8 +153,8 @@
   const auto add = [&](const std::string& name) { header += std::to_string(name.size()) + ":" + name + " "; };
   for (const RequestClass& c : settings.classes)
     add(c.name), add(std::to_string(c.latency_target)), add(std::to_string(c.deadline));
-  // "covered for" also identifies the format of the state: served rates account for the share of servers in
-  // the window.
+  // This text is the part of the header that identifies the format of the learned state: one in which served
+  // rates account for the share of servers in the window.
   header += "covered for ";
   for (const Tenant& tenant : settings.tenants) add(tenant.name);
   return header;
--- a/src/tunables.hpp
+++ b/src/tunables.hpp
@@ -110,7 +110,8 @@
 inline constexpr double kMachineLatencyWeight = 3;
 // Answers of a class after which its answer time is known well enough to call work infeasible.
 inline constexpr double kInfeasibleMinAnswers = 10;
-// The minimum of a listed weight, and of a relative latency that weights are divided by.
+// Listed weights, and the relative latencies that they are divided by, count as at least this much:
+// these latencies and the sum of the weights in a window are used as divisors and must not be 0.
 inline constexpr double kMinWeight = 0.01;
 // The minimum relative work of a request, as a multiple of what is usual for its class.
 inline constexpr double kMinRelativeWork = 0.05;
@@ -133,7 +134,7 @@
 // The same as kRefusalMemory, for a server's failures (errors and attempts without an answer) of a class.
 // Longer than for refusals, as one answer in a thousand is an error on any server: a single one must
 // not count for much.
-inline constexpr double kErrorMemory = 4;
+inline constexpr double kFailureMemory = 4;
 // At most this share of the window is ejected at once: a slowdown of all servers must not empty the window.
 inline constexpr double kMaxEjectedShare = 0.5;
 // From this cost of cross-zone requests on, servers of other zones get only the work that the own zone cannot
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -886,8 +886,8 @@
   EXPECT_GT(used.size(), 8u);
 }
 
-// Late answers arrive seconds after they became late. Waiting for them would delay the reaction to an
-// overload, as in three incidents, so an attempt counts as late as soon as it exceeds the latency target.
+// Late answers arrive seconds after they became late. In three incidents, waiting for them delayed the
+// reaction to an overload, so an attempt counts as late as soon as it exceeds the latency target.
 TEST_F(BalancerTest, AnAttemptInFlightPastItsLatencyTargetIsAnOverloadSignalAtOnce) {
   Settings settings = MakeSettings();
   settings.classes[2].late_value = 0.5;
@@ -913,8 +913,8 @@
   EXPECT_GT(refused, 10);  // none of the twelve has been answered yet
 }
 
-// Servers can be overloaded within seconds, before admission has fallen, as in six incidents. Consecutive
-// late answers therefore have to lower it faster.
+// In six incidents, servers were overloaded within seconds, before admission had fallen. Consecutive late
+// answers therefore have to lower it faster.
 TEST_F(BalancerTest, ConsecutiveLateAnswersLowerAdmissionFasterThanScatteredOnes) {
   std::map<bool, int> sent;
   for (const bool in_a_row : {false, true}) {
--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -97,7 +97,7 @@
   void DisconnectAll() {
     for (std::size_t i = 0; i < kClients; ++i) DisconnectClient(kDisconnects[i], *clients[i]);
   }
-  std::uint64_t Disconnected() const { return sidecar->counters().classes()[0].disconnected; }
+  std::uint64_t DisconnectedCount() const { return sidecar->counters().classes()[0].disconnected; }
   void SlowDials(nlohmann::json& json) const {
     json["settings"]["allowed"]["dial_timeout_us"] = 20'000'000;
     json["settings"]["allowed"]["cancel"] = cancel;
@@ -123,7 +123,7 @@
   const auto connected = Client(Get("stays"));
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->upstream_connections() == kClients + 1; }));
   DisconnectAll();
-  ASSERT_TRUE(RunUntil(io, [&] { return Disconnected() == kClients; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return DisconnectedCount() == kClients; }));
   server.AcceptConnections();
   EXPECT_EQ(Status(*connected), "200");
   RunFor(io, 50ms);
@@ -150,7 +150,7 @@
   server.AcceptConnections();
   pollfd writable{after.native_handle(), POLLOUT, 0};
   ASSERT_EQ(::poll(&writable, 1, /*timeout=*/20'000), 1);
-  ASSERT_TRUE(RunUntil(io, [&] { return Disconnected() == kClients; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return DisconnectedCount() == kClients; }));
   EXPECT_EQ(Ask(Get("stays")), "200");
   EXPECT_EQ(server.Received().find("abandoned-"), std::string::npos) << server.Received();
   EXPECT_EQ(sidecar->counters().attempts(), 1U);
@@ -175,7 +175,7 @@
   while (std::chrono::steady_clock::now() < delay_end) continue;
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 0; }));
   EXPECT_EQ(server.requests(), 1);
-  EXPECT_EQ(Disconnected(), 1U);
+  EXPECT_EQ(DisconnectedCount(), 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(WithMorePipelinedThanBuffered, DisconnectDuringRetryDelay,
@@ -202,7 +202,7 @@
   EXPECT_EQ(Status(*first), "200");
   EXPECT_EQ(Status(*connected), "200");
   EXPECT_EQ(server.requests(), 2);
-  EXPECT_EQ(Disconnected(), kClients);
+  EXPECT_EQ(DisconnectedCount(), kClients);
 }
 
 // The client disconnects while its first request is in flight; the pipelined ones are parsed after that.
@@ -213,7 +213,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   server.peers[0]->Write(Reply("200 OK", "ok"));
   client->Close();
-  ASSERT_TRUE(RunUntil(io, [&] { return Disconnected() == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return DisconnectedCount() == 1; }));
   server.on_data = [](Peer& peer) {
     if (peer.received.find("stays") != std::string::npos) peer.Write(Reply("200 OK", "ok"));
   };
@@ -232,7 +232,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return sidecar->pending_requests() == 0; }));
   EXPECT_EQ(server.requests(), 1);
   EXPECT_EQ(sidecar->counters().attempts(), 1U);
-  EXPECT_GE(Disconnected(), kClients / 2);
+  EXPECT_GE(DisconnectedCount(), kClients / 2);
 }
 
 }  // namespace
--- a/tests/net/discovery_outage_test.cpp
+++ b/tests/net/discovery_outage_test.cpp
@@ -25,7 +25,7 @@
     discovery.bind(Loopback());  // connections are refused until it listens
     Tcp::acceptor free_port(io, Loopback());
     listen = free_port.local_endpoint();
-    char name[] = "/tmp/fennelhollow-crowd-XXXXXX";
+    char name[] = "/tmp/fennelhollow-outage-XXXXXX";
     const int file = ::mkstemp(name);
     ::close(file);
     path = name;
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -275,7 +275,7 @@
   EXPECT_EQ(server->peers[1]->received.rfind("GET /v1/endpoints HTTP/1.1\r\n", 0), 0U);
 }
 
-TEST_F(DiscoveryTest, LeavesReopeningToTheModuleWhereListsAreRequested) {
+TEST_F(DiscoveryTest, LeavesReopeningToTheBalancerWhereListsAreRequested) {
   Discovery::Timing timing = LongTimeouts();
   timing.reopens_itself = false;
   Start({"0\r\n\r\n"}, timing);
@@ -286,7 +286,7 @@
   EXPECT_TRUE(RunUntil(io, [&] { return watches == 2; }));
 }
 
-// The settings replace spaces and commas in names, the list does not.
+// In the settings, spaces and commas of names have become underscores; in the list they are still there.
 TEST(ParseList, FindsZonesAndMachinesWithSpacesAndCommasInTheirNames) {
   const drill::WireSettings names{{}, {"west", "north_sea__2"}, {"std", "big_one"}};
   nlohmann::json entry = Entry("s", {asio::ip::make_address("127.0.0.1"), 80}, "up", 0, "north sea, 2");
--- a/tests/net/list_age_test.cpp
+++ b/tests/net/list_age_test.cpp
@@ -105,7 +105,9 @@
   EXPECT_EQ(age.missed_changes(), MissedChanges::kPossible);
 }
 
-// A process that starts during an outage has had no connection that could break.
+// A process that starts during an outage has had no connection whose break would show the outage. Until
+// discovery gives a sign of life, an error status that comes late therefore counts as an outage, which
+// postpones the effect of missed changes.
 TEST_F(ListAgeTest, UntilTheFirstSignOfLifeALateErrorStatusIsAnOutage) {
   ListAge age = RequestedList();
   age.OnCallEnd(Result::kErrorStatus, kStart + seconds(1), kStart + seconds(4));
--- a/tests/net/sidecar_edge_cases_test.cpp
+++ b/tests/net/sidecar_edge_cases_test.cpp
@@ -21,7 +21,7 @@
     Config config = ParseConfig(ConfigJson(address, {}).dump());
     sidecar->Reload(config);
   }
-  // Lists are requested by the module, without delay, instead of pushed.
+  // Lists are requested by the balancer, without delay, instead of pushed.
   static void UseSubscribeMode(nlohmann::json& json) {
     json["settings"]["membership_mode"] = "subscribe";
     json["settings"]["rules"]["ask_within_us"] = 1000;
@@ -138,7 +138,7 @@
 // ---- Request classes ----
 
 // Requests of several classes on one persistent connection are each assigned to their own class, even if two
-// class names have the same form on the module's wire protocol. A request of an unknown class affects no
+// class names have the same form on the balancer's wire protocol. A request of an unknown class affects no
 // other.
 TEST_F(SidecarEdgeCasesTest, EachRequestHasItsOwnClassOnOneConnection) {
   ScriptedServer server(io, Serves("ok"));
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -199,7 +199,8 @@
   EXPECT_GT(chosen.requests(), before + 2);
 }
 
-// Seen in the same run: each server replacement reduced admission for a quarter of a second.
+// Seen in the same run with server replacements: each server replacement reduced admission for a quarter of a
+// second.
 TEST_F(SidecarTest, ReplacingAServerRefusesNoRequest) {
   bool answers = true;
   ScriptedServer server(io, [&](Peer& peer) {
@@ -219,9 +220,9 @@
   for (const auto& client : clients) EXPECT_EQ(client->received, "");
 }
 
-// Seen in the same run: some servers stopped answering while the other answers were as fast as ever, so all
-// requests were admitted until most servers were overloaded. The number of attempts in flight shows the
-// problem before any answer does.
+// Seen in the same run with server replacements: some servers stopped answering while the other answers were
+// as fast as ever, so all requests were admitted until most servers were overloaded. The number of attempts
+// in flight shows the problem before any answer does.
 TEST_F(SidecarTest, MoreAttemptsInFlightThanUsualReduceAdmission) {
   std::vector<Peer*> waiting;
   ScriptedServer server(io, [&](Peer& peer) { waiting.push_back(&peer); });
@@ -237,8 +238,8 @@
   EXPECT_LT(waiting.size(), 70U);
 }
 
-// Seen in the same run: servers that stalled for a second or two collected up to 20 requests each before the
-// first of them was late.
+// Seen in the same run with server replacements: servers that stalled for a second or two collected up to 20
+// requests each before the first of them was late.
 TEST_F(SidecarTest, AServerThatStallsWithRequestsInFlightGetsFewMore) {
   bool stalls = false;
   int resent = 0;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -21,7 +21,7 @@
 // Follows the events and actions of one balancer and records each rule violation as a text.
 class RuleChecker {
  public:
-  RuleChecker(Settings settings, Micros slack) : settings_(std::move(settings)), slack_(slack) {}
+  RuleChecker(Settings settings, Micros slack) : settings_(std::move(settings)), deadline_slack_(slack) {}
 
   void OnListed(Micros now, const ServerInfo& info) {
     ServerRecord& server = servers_[info.id];
@@ -95,7 +95,7 @@
       request.attempts.push_back({now, server.info.zone, server.info.cell, true, true});
       return;
     }
-    if (now > request.deadline + slack_) Report("answered after the deadline");
+    if (now > request.deadline + deadline_slack_) Report("answered after the deadline");
     if (action.kind == Kind::kRefuse && prior_run != nullptr && c.repeat != Repeat::kSafe &&
         !(c.repeat == Repeat::kDeduplicated && c.dedup_group == DedupGroup::kAll))
       Report("refused a request that may have run");
@@ -132,7 +132,7 @@
   void Report(const std::string& violation) { violations_.insert(violation); }
 
   Settings settings_;
-  Micros slack_;
+  Micros deadline_slack_;
   std::map<std::string, ServerRecord> servers_;
   std::map<std::string, RequestRecord> requests_;
   std::map<std::string, std::vector<std::string>> requests_by_key_;
--- a/tests/slow_start_fleet.hpp
+++ b/tests/slow_start_fleet.hpp
@@ -28,15 +28,15 @@
   // uses the scenario's settings.
   Fleet(const Scenario& scenario, std::uint64_t seed, const Settings* balancer_settings = nullptr)
       : scenario_(scenario),
-        settings_(balancer_settings != nullptr ? *balancer_settings : scenario.settings),
+        balancer_settings_(balancer_settings != nullptr ? *balancer_settings : scenario.settings),
         random_(seed) {
     for (int i = 0; i < scenario.servers; ++i) AddServer(0);
-    double sum = 0;
+    double total_share = 0;
     for (int i = 0; i < scenario.sidecars; ++i) {
       sidecars_.push_back(std::make_unique<Sidecar>(*this, i));
-      sum += random_.Chance(0.1) ? random_.Between(2, 6)
-                                 : random_.Between(0.5, 1.5);  // some get several times the mean
-      cumulative_shares_.push_back(sum);
+      total_share += random_.Chance(0.1) ? random_.Between(2, 6)
+                                         : random_.Between(0.5, 1.5);  // some get several times the mean
+      cumulative_shares_.push_back(total_share);
     }
     for (const Server& server : servers_) total_capacity_ += Capacity(server);
     for (int i = 0; i < scenario.sidecars; ++i) StartSidecar(i);
@@ -58,9 +58,9 @@
 
  private:
   static constexpr Micros kBegin = 1000 * kSec;
-  static constexpr double kQueuePerCore = 10;
-  static constexpr double kLullTraffic = 0.03;  // traffic in a lull, as a share of the normal traffic
-  static constexpr double kErrorRate = 0.005;   // share of the requests that fail at random
+  static constexpr double kMaxUnfinishedPerCore = 10;  // a server with more refuses new requests
+  static constexpr double kLullTraffic = 0.03;         // traffic in a lull, as a share of the normal traffic
+  static constexpr double kErrorRate = 0.005;          // share of the requests that fail at random
 
   using Event = FleetEvent;
   using Server = FleetServer;
@@ -207,7 +207,7 @@
         return Arrive(static_cast<int>(i), random_.Below(4), 0.4 * random_.Exponential() + 0.6, 0);
       }
       case Event::kRetry: {
-        const Call call = calls_[static_cast<std::size_t>(event.subject)];
+        const Call call = calls_[static_cast<std::size_t>(event.call)];
         return Arrive(call.sidecar, call.request_class, call.work, call.client_retries + 1);
       }
       case Event::kOutcome:
@@ -259,7 +259,7 @@
   // Starts a sidecar process. Its first list is the current list of discovery.
   void StartSidecar(int number) {
     Sidecar& sidecar = *sidecars_[static_cast<std::size_t>(number)];
-    Settings settings = settings_;
+    Settings settings = balancer_settings_;
     settings.rank = static_cast<std::uint32_t>(number);
     settings.zone = number % 2;
     std::string error;
@@ -303,7 +303,7 @@
     if (refused && call.client_retries < 2 && random_.Chance(0.5))
       Push({.at = now_ + retry_after + random_.UpTo(500 * kMs),
             .kind = Event::kRetry,
-            .subject = static_cast<int>(&call - calls_.data())});
+            .call = static_cast<int>(&call - calls_.data())});
   }
 
   void OnSend(Sidecar& sidecar, std::string_view id, const std::string& name, Micros timeout) {
@@ -316,7 +316,7 @@
                 .kind = Event::kOutcome,
                 .sidecar = sidecar.number,
                 .incarnation = sidecar.incarnation,
-                .subject = static_cast<int>(&call - calls_.data()),
+                .call = static_cast<int>(&call - calls_.data()),
                 .attempt = call.attempts++,
                 .server = static_cast<int>(index),
                 .sent = now_};
@@ -326,7 +326,7 @@
       server.finish_times.pop_front();
     if (!server.up) {
       event.result = Result::kUnreachable;
-    } else if (static_cast<double>(server.finish_times.size()) > kQueuePerCore * scenario_.cores) {
+    } else if (static_cast<double>(server.finish_times.size()) > kMaxUnfinishedPerCore * scenario_.cores) {
       event.result = Result::kRefused;
     } else if (random_.Chance(kErrorRate)) {
       event.result = Result::kError;
@@ -347,9 +347,9 @@
   void Resolve(const Event& event, Sidecar& sidecar) {
     if (event.incarnation != sidecar.incarnation) return;
     const Server& server = servers_[static_cast<std::size_t>(event.server)];
-    Call& call = calls_[static_cast<std::size_t>(event.subject)];
+    Call& call = calls_[static_cast<std::size_t>(event.call)];
     Outcome outcome;
-    const std::string id = "r" + std::to_string(event.subject);
+    const std::string id = "r" + std::to_string(event.call);
     outcome.request = id;
     outcome.attempt = event.attempt;
     outcome.result = event.result;
@@ -364,8 +364,8 @@
   }
 
   // Applies the rule for slow start: a server is overloaded by more than N + 2 * sqrt(N) + 2 requests of mean
-  // work within the window, where N is what the settings allow it at its present warm-up. Every request that
-  // arrives counts. An overloaded server stays down.
+  // work within the overload window, where N is what the settings allow it at its present warm-up. Every
+  // request that arrives counts. An overloaded server stays down.
   void CountSlowStartSend(Server& server, double work, bool informed) {
     const Settings& s = scenario_.settings;
     if (server.info.started == 0 || now_ - server.info.started >= s.slow_start_duration) return;
@@ -390,7 +390,7 @@
   }
 
   const Scenario scenario_;
-  const Settings settings_;
+  const Settings balancer_settings_;
   RandomSource random_;
   Micros now_ = kBegin;
   std::int64_t order_ = 0;
--- a/tests/slow_start_scenario.hpp
+++ b/tests/slow_start_scenario.hpp
@@ -51,8 +51,8 @@
 
 // The load on one server after one of its starts, at the time at which it came closest to the limit.
 struct StartLoad {
-  double allowed = 0;   // requests of mean work that the settings allow within the window
-  double sent = 0;      // requests of mean work received within the window ...
+  double allowed = 0;   // requests of mean work that the settings allow within the overload window
+  double sent = 0;      // requests of mean work received within the overload window ...
   double informed = 0;  // ... and those from sidecars that knew of the start
   // The limit of the rule for slow start.
   double max_allowed() const { return allowed + 2 * std::sqrt(allowed) + 2; }
@@ -105,7 +105,7 @@
   } kind = kArrival;
   int sidecar = 0;
   int incarnation = 0;  // of the sidecar's process; events for an earlier one are ignored
-  int subject = 0;      // a request or a server
+  int call = 0;         // index in the fleet's list of calls
   int attempt = 0;
   Result result = Result::kSuccess;
   std::uint64_t token = 0;
@@ -131,7 +131,7 @@
   int starts = 0;
   std::vector<Micros> core_free_at;  // one entry per core
   std::deque<Micros> finish_times;   // of its unfinished requests
-  std::deque<SlowStartSend> window;  // received since its start and within the last overload_window
+  std::deque<SlowStartSend> window;  // received since its start and within the overload window
   double sent = 0, sent_informed = 0;
   std::size_t start_index = 0;  // index in FleetResult::starts
 };
@@ -164,8 +164,8 @@
   s.sidecar_count = static_cast<std::uint32_t>(scenario.sidecars);
   scenario.load = random.Between(0.5, 1.5);
   const double allowed = std::exp(random.Between(std::log(0.7), std::log(120)));
-  const double seconds = static_cast<double>(s.overload_window) / kSec;
-  scenario.capacity = std::min(allowed / (s.overload_factor * s.slow_start_share * seconds),
+  const double window_seconds = static_cast<double>(s.overload_window) / kSec;
+  scenario.capacity = std::min(allowed / (s.overload_factor * s.slow_start_share * window_seconds),
                                500 / scenario.load / scenario.servers);
   scenario.cores = 1 + random.Below(std::clamp(static_cast<int>(scenario.capacity), 1, 8));
   scenario.disturbance = static_cast<Disturbance>(random.Below(kDisturbanceCount));
@@ -174,7 +174,7 @@
   const double rate = scenario.load * scenario.capacity * scenario.servers;
   scenario.start_time = static_cast<Micros>(std::clamp(random.Between(200, 1000) / rate, 2.0, 25.0) * kSec);
   scenario.end =
-      scenario.start_time + static_cast<Micros>(std::clamp(1500 / rate, 2 * seconds + 1, 10.0) * kSec);
+      scenario.start_time + static_cast<Micros>(std::clamp(1500 / rate, 2 * window_seconds + 1, 10.0) * kSec);
   if (scenario.disturbance == Disturbance::kNone) scenario.burst_duration = 0;
   if (scenario.disturbance == Disturbance::kLullThenBurst) {
     scenario.lull_duration = static_cast<Micros>(random.Between(1, 6) * kSec);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -150,7 +150,7 @@
   EXPECT_THROW(ParseHex("6g"), WireError);
 }
 
-TEST(Wire, EverySettingReachesTheModule) {
+TEST(Wire, EverySettingReachesTheBalancer) {
   const Settings s =
       ParseSettings(
           "allowed.conn_idle_us=5 allowed.dial_timeout_us=6 allowed.open_cap=7 allowed.cpu_us_per_s=8 "
@@ -179,7 +179,7 @@
   EXPECT_EQ(s.cost_moves, 0.5);
   EXPECT_EQ(s.cost_origin, 0.6);
   EXPECT_EQ(s.goal_whole, 0.7);
-  EXPECT_EQ(s.goal_worst_window, 0.8);
+  EXPECT_EQ(s.goal_worst_10_s, 0.8);
   EXPECT_EQ(s.goal_worst_class, 0.9);
   EXPECT_EQ(s.goal_worst_tenant, 0.25);
   EXPECT_TRUE(s.classes[0].sequential);
