--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -14,7 +14,7 @@
       server_(io, config.listen, config.limits, feed_,
               {[this] { return Status(); }, [this] { return UpstreamCaughtUp(); }}),
       catch_up_time_(config.catch_up_time),
-      upstream_(io, config.upstream, empty_names_, config.timing, config.seed,
+      upstream_(io, config.upstream, settings_without_names_, config.timing, config.seed,
                 {[](const net::EndpointList&) {}, [this](Micros) { OnFailed(); },
                  [this](const nlohmann::json& object) { OnObject(object); }, [this] { OnData(); }}),
       last_data_at_(Clock::now()) {
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -74,7 +74,10 @@
   StateFile state_file_;
   Server server_;
   const std::chrono::milliseconds catch_up_time_;
-  const drill::WireSettings empty_names_;  // so zones and other names are passed on unchanged
+  // Lists no zones or machine types. net::Discovery needs such names only to translate those of the entries
+  // into indices in the list that it parses, which the relay ignores. The relay passes on the JSON entries,
+  // which net::Discovery leaves unchanged.
+  const drill::WireSettings settings_without_names_;
   net::Discovery upstream_;
   bool upstream_connected_ = false;  // data has been received since the last call ended
   Clock::time_point connected_since_;
--- a/relay/session.cpp
+++ b/relay/session.cpp
@@ -68,8 +68,8 @@
 void Session::Start() {
   ErrorCode ignored;
   socket_.set_option(net::Tcp::no_delay(true), ignored);
-  // A small send buffer: changes for a slow peer are then merged into one delta here, instead of queueing as
-  // many old deltas in the kernel.
+  // A limited send buffer: changes for a slow peer are then merged into one delta here, instead of queueing
+  // as many old deltas in the kernel.
   socket_.set_option(net::asio::socket_base::send_buffer_size(server_->limits().send_buffer), ignored);
   http::async_read_header(socket_, request_head_->buffer, request_head_->parser,
                           [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnHead(error); });
--- a/scale/call_plan.hpp
+++ b/scale/call_plan.hpp
@@ -34,7 +34,8 @@
 // unless the run is to stop.
 void RecordPairedSample(Context& context, Sample sample, const PairedResult& result, RemoteServers& servers);
 
-// Calls `measure` for each size in each repeat, every time with a new seed, until the run is to stop.
+// Calls `measure` for each size in each repeat, every time with a new seed, until the run is to stop. Unlike
+// MeasureEach (discovery_test_bed.hpp), passes a seed and checks itself, before each call, for the stop.
 void ForEachMeasurement(
     Context& context, const std::vector<std::int64_t>& sizes,
     const std::function<void(std::int64_t size, int repeat, std::uint64_t seed)>& measure);
--- a/scale/capacity.cpp
+++ b/scale/capacity.cpp
@@ -75,16 +75,16 @@
   }
 
   // Records `size` as the size at which the slopes without an argument are used.
-  void SetBareSlopeSize(double size) {
-    for (const double max_measured : bare_slope_max_sizes_) RecordSize(size, max_measured);
-    bare_slope_max_sizes_.clear();
+  void SetSizeOfSlopesWithoutArgument(double size) {
+    for (const double max_measured : max_sizes_of_slopes_without_argument_) RecordSize(size, max_measured);
+    max_sizes_of_slopes_without_argument_.clear();
   }
 
   void FillSources(Demand& demand) const {
     demand.sources = sources_;
     demand.series = series_;
     demand.size_ratio = size_ratio_;
-    demand.size_unknown = !bare_slope_max_sizes_.empty();
+    demand.size_unknown = !max_sizes_of_slopes_without_argument_.empty();
   }
 
  private:
@@ -162,7 +162,7 @@
     }
     if (!argument) {
       if (kind == "line") throw FormulaError(name + " needs a size in parentheses");
-      bare_slope_max_sizes_.push_back(series.sizes.back());
+      max_sizes_of_slopes_without_argument_.push_back(series.sizes.back());
       return series.line->slope;
     }
     RecordSize(*argument, series.sizes.back());
@@ -179,8 +179,8 @@
   std::set<std::string> formulas_in_evaluation_;  // named formulas that are being evaluated, to detect cycles
   std::set<std::string> sources_;
   std::set<SeriesName> series_;
-  std::vector<double>
-      bare_slope_max_sizes_;  // largest measured size of each bare slope: one without an argument
+  // The largest measured size of each slope without an argument.
+  std::vector<double> max_sizes_of_slopes_without_argument_;
   std::optional<double> size_ratio_;
 };
 
@@ -202,7 +202,8 @@
       NameResolver resolver(values, roles_, runs_);
       demand.demand = resolver.Value(row.formula);
       key = ".at";
-      if (!row.at.empty()) resolver.SetBareSlopeSize(NameResolver(values, roles_, runs_).Value(row.at));
+      if (!row.at.empty())
+        resolver.SetSizeOfSlopesWithoutArgument(NameResolver(values, roles_, runs_).Value(row.at));
       resolver.FillSources(demand);
       key = ".budget";
       if (!row.budget.empty()) {
--- a/scale/capacity_input.hpp
+++ b/scale/capacity_input.hpp
@@ -23,15 +23,15 @@
 
 // The demand for one figure of a role at the target.
 struct RoleRow {
-  std::string key;      // "row[3]", numbered from 1
-  std::string role;     // "sidecar"
-  std::string figure;   // "memory"
-  std::string unit;     // of demand and budget
-  std::string when;     // "ordinary", "worst" (the worst second) or "day"
-  std::string formula;  // of the demand
-  std::string budget;   // a formula; empty if neither the target nor an assumption limits the figure
-  std::string at;       // a formula for the size at which slopes without an argument are used; may be empty
-  std::string mechanism;
+  std::string key;        // "row[3]", numbered from 1
+  std::string role;       // "sidecar"
+  std::string figure;     // "memory"
+  std::string unit;       // of demand and budget
+  std::string when;       // "ordinary", "worst" (the worst second) or "day"
+  std::string formula;    // of the demand
+  std::string budget;     // a formula; empty if neither the target nor an assumption limits the figure
+  std::string at;         // a formula for the size at which slopes without an argument are used; may be empty
+  std::string mechanism;  // what keeps the role within its budget, or would; may be empty
 };
 
 // docs/capacity/roles.toml: [formulas], whose names other formulas may use, and the [[row]]s.
--- a/scale/commands.cpp
+++ b/scale/commands.cpp
@@ -23,7 +23,7 @@
   std::string scenario;
   std::vector<std::string> steps;
   RunOptions run;
-  std::vector<std::filesystem::path> folders;
+  std::vector<std::filesystem::path> result_folders;
   std::filesystem::path json;
   std::filesystem::path targets = "docs/capacity/targets.toml";
   std::filesystem::path roles = "docs/capacity/roles.toml";
@@ -42,7 +42,7 @@
 }
 
 int ShowFit(const Arguments& arguments) {
-  const std::vector<FittedRun> runs = ReadRuns(arguments.folders);
+  const std::vector<FittedRun> runs = ReadRuns(arguments.result_folders);
   if (!arguments.json.empty()) WriteFile(arguments.json, FitJson(runs));
   std::fputs(FitTable(runs).c_str(), stdout);
   return kDone;
@@ -54,7 +54,7 @@
   }
   const Targets targets = ReadTargets(arguments.targets);
   const Roles roles = ReadRoles(arguments.roles);
-  const std::vector<FittedRun> runs = ReadRuns(arguments.folders);
+  const std::vector<FittedRun> runs = ReadRuns(arguments.result_folders);
   const std::vector<Table> tables = CapacityTables(CapacityModel(targets, roles, runs));
   if (arguments.page.empty()) {
     for (const Table& table : tables) std::printf("%s\n", WithMarkers(table).c_str());
@@ -100,7 +100,7 @@
 
 CLI::App* AddFit(CLI::App& app, Arguments& arguments) {
   CLI::App* fit = app.add_subcommand("fit", "Shows the slopes of results, and how well a line fits them");
-  fit->add_option("folders", arguments.folders, "Folders with a result.json each")->required();
+  fit->add_option("folders", arguments.result_folders, "Folders with a result.json each")->required();
   fit->add_option("--json", arguments.json, "A file to write the same data to, as JSON");
   return fit;
 }
@@ -109,7 +109,7 @@
   CLI::App* capacity = app.add_subcommand(
       "capacity", "Shows the demand on each role at the target, computed from the results");
   capacity
-      ->add_option("folders", arguments.folders,
+      ->add_option("folders", arguments.result_folders,
                    "Folders with a result.json each; the first one has precedence")
       ->required();
   capacity->add_option("--targets", arguments.targets, "The target: figures, budgets, assumptions");
--- a/scale/discovery_list.cpp
+++ b/scale/discovery_list.cpp
@@ -58,9 +58,10 @@
 FramePtr DiscoveryList::Set(const std::vector<Entry>& list) {
   list_.clear();
   history_.clear();
-  PastChange unused{++generation_, {}};
+  // A replaced list has no history, so the change is not kept.
+  PastChange not_recorded{++generation_, {}};
   ClearCache();
-  Apply(list, unused);
+  Apply(list, not_recorded);
   return std::make_shared<const Frame>(
       MakeFrame(Chunk(SerializeObject(true, AllEntries())), true, list_.size()));
 }
--- a/scale/discovery_test_bed.hpp
+++ b/scale/discovery_test_bed.hpp
@@ -103,7 +103,8 @@
 };
 
 // Runs all measurements of a step: every size once before any is repeated, so that drift affects all sizes
-// alike. Returns early if the run is interrupted.
+// alike. Returns early if `measure` throws Interrupted, as a test bed does when the run is interrupted.
+// Unlike ForEachMeasurement (call_plan.hpp), passes no seed to `measure`.
 void MeasureEach(Context& context, const std::vector<std::int64_t>& sizes,
                  const std::function<void(std::int64_t size, int repeat)>& measure);
 
--- a/scale/experiment_server_loss.cpp
+++ b/scale/experiment_server_loss.cpp
@@ -52,8 +52,9 @@
     return phase;
   }
 
-  // Delays are counted from when discovery applies a change, which is late if it is busy. Therefore the time
-  // from the beginning of the phase until its last change has taken effect everywhere is recorded as well.
+  // Delays are counted from when discovery applies a change. If it is busy, it applies changes late, which
+  // the delays do not include. Therefore the time from the beginning of the phase until its last change has
+  // taken effect everywhere is recorded as well.
   static void AddPhase(const std::string& name, DiscoveryTestBed& test_bed, const Phase& phase,
                        std::map<std::string, double>& figures) {
     const DelaySummary delays = test_bed.EffectDelays(phase.changes, /*keep=*/true);
--- a/scale/fake_discovery.cpp
+++ b/scale/fake_discovery.cpp
@@ -75,7 +75,7 @@
   const auto second = std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
   if (std::exchange(current_second_, second) != second) calls_in_second_ = 0;
   counts_.max_calls_in_a_second = std::max(counts_.max_calls_in_a_second, ++calls_in_second_);
-  if (from->muted()) return;
+  if (from->silent()) return;
   if (target.substr(0, target.find('?')) != kEndpointsPath) {
     return from->WriteLast(
         TextFrame("HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"));
@@ -109,7 +109,7 @@
     const Call call = std::move(queue_.front());
     queue_.pop_front();
     const auto from = call.from.lock();
-    if (from == nullptr || from->muted()) continue;
+    if (from == nullptr || from->silent()) continue;
     const Micros cost =
         options_.service_time + options_.service_time_per_entry * static_cast<Micros>(EntryCount(call));
     if (cost <= 0) {
@@ -180,7 +180,7 @@
         if (!error) {
           ++counts_.connections;
           const auto connection = std::make_shared<Connection>(*this, region, std::move(socket));
-          if (silent_ || regions_[region].partitioned) connection->Mute();
+          if (silent_ || regions_[region].partitioned) connection->Silence();
           regions_[region].connections.insert(connection);
           connection->Read();
         }
@@ -231,7 +231,7 @@
   silent_ = silent;
   if (!silent) return;
   for (Region& region : regions_)
-    for (const ConnectionPtr& connection : region.connections) connection->Mute();
+    for (const ConnectionPtr& connection : region.connections) connection->Silence();
 }
 
 // A listener whose backlog is full drops connection attempts, as a network partition does; a closed listener
@@ -241,7 +241,7 @@
   if (down_ || std::exchange(region.partitioned, partitioned) == partitioned) return;
   ErrorCode ignored;
   if (partitioned) {
-    for (const ConnectionPtr& connection : region.connections) connection->Mute();
+    for (const ConnectionPtr& connection : region.connections) connection->Silence();
     region.acceptor.cancel(ignored);
     ::listen(region.acceptor.native_handle(), 0);
     Tcp::socket filler(io_);
--- a/scale/fake_discovery_connection.hpp
+++ b/scale/fake_discovery_connection.hpp
@@ -44,7 +44,7 @@
 
   // Writes the frame at once or, if the peer reads slowly, as the socket accepts it.
   void Write(const FramePtr& frame) {
-    if (muted_ || closing_ || owner_ == nullptr) return;
+    if (silent_ || closing_ || owner_ == nullptr) return;
     Counts& counts = owner_->counts_;
     counts.objects += frame->objects;
     counts.full_lists += frame->full_lists;
@@ -67,11 +67,11 @@
     Write(first);
   }
 
-  void Mute() {
-    muted_ = true;
+  void Silence() {
+    silent_ = true;
     pending_.clear();
   }
-  bool muted() const { return muted_; }
+  bool silent() const { return silent_; }
 
   void Reset() {
     Detach();
@@ -156,7 +156,7 @@
   std::vector<FramePtr> pending_;
   std::size_t written_ = 0;  // bytes of the first pending frame
   std::optional<std::size_t> slot_;
-  bool muted_ = false;
+  bool silent_ = false;
   bool closing_ = false;
   bool last_frame_queued_ = false;  // no frame follows the pending ones
 };
--- a/scale/fan_out.cpp
+++ b/scale/fan_out.cpp
@@ -144,7 +144,7 @@
       Record("fan_out", std::move(figures));
     }
 
-    // Many servers change one by one in a short time, as after a region has been healed.
+    // Many servers change one by one in a short time, as after the partition of a region has ended.
     void MeasureBurst() {
       const Snapshot before = TakeSnapshot();
       const auto generation_before = before.upstream.at("generation").get<std::int64_t>();
--- a/scale/paired_run.hpp
+++ b/scale/paired_run.hpp
@@ -38,10 +38,13 @@
 struct PairedResult {
   CallResults direct;
   CallResults through;
-  // CPU time of the sidecars: before the first call, and over all turns. The direct turns are included
-  // because a call causes some work after its end, which falls into the direct turn that follows.
+  // CPU time that the sidecars use per second while idle, measured before the first call.
   double idle_cpu_us_per_s = 0;
+  // CPU time of the sidecars over all turns except the first of each path, which is discarded. The direct
+  // turns are included because a call causes some work after its end, which falls into the direct turn that
+  // follows.
   std::int64_t cpu_us = 0;
+  // The duration of the turns that cpu_us covers.
   std::chrono::duration<double> time{};
 
   // Returns "cpu_us_per_call", without the CPU time that the sidecars would have used when idle; the latency
--- a/tests/faults/caller.hpp
+++ b/tests/faults/caller.hpp
@@ -42,8 +42,8 @@
          std::deque<Request>& requests);
 
   void Start() { Pause(); }
-  // From now on a new connection is opened only to send a request again that was not answered before its
-  // connection ended.
+  // From now on, opens a new connection only to resend a request whose connection ended before it was
+  // answered.
   void ReconnectOnlyToResend() { reconnects_only_to_resend_ = true; }
   void Stop();
 
--- a/tests/faults/faulty_discovery.cpp
+++ b/tests/faults/faulty_discovery.cpp
@@ -147,7 +147,8 @@
 }
 
 void FaultyDiscovery::Listen(std::size_t index) {
-  // Binds twice: shutdown() releases a port that the kernel chose, but not one that was requested.
+  // Binds once to let the kernel choose a port, then again to that port: the kernel keeps a requested port
+  // when SetMode() shuts the listener down, but would release a chosen one.
   addresses_[index] = net::Tcp::acceptor(io_, addresses_[index]).local_endpoint();
   acceptors_[index] = std::make_unique<net::Tcp::acceptor>(io_, addresses_[index]);
   Accept(index);
--- a/tests/faults/faulty_discovery.hpp
+++ b/tests/faults/faulty_discovery.hpp
@@ -101,8 +101,9 @@
   std::vector<std::unique_ptr<net::Tcp::acceptor>> acceptors_;
   std::vector<std::shared_ptr<Session>> sessions_;
   std::map<std::string, nlohmann::json> entries_;
-  std::map<std::string, nlohmann::json> written_;  // entries_ as last written
-  std::int64_t written_generation_ = 0;
+  // `entries_` as of the last list or change that was written to any connection.
+  std::map<std::string, nlohmann::json> written_;
+  std::int64_t written_generation_ = 0;  // the generation of `written_`; 0 = none has been written yet
   std::int64_t generation_ = 1;
   std::vector<Change> changes_;
   std::vector<Interval> outages_;
--- a/tests/faults/silent_discovery_test.cpp
+++ b/tests/faults/silent_discovery_test.cpp
@@ -23,7 +23,8 @@
 // Allows for a delay of the sidecar between reading its clock and writing, and for delays of this process.
 constexpr auto kSlack = milliseconds(50);
 constexpr auto kMeasuredTime = std::chrono::seconds(10);
-constexpr double kMinUsableRatio = 0.95;  // of the usable time during the silence to that before it
+// The minimum of (usable share during the silence) / (usable share before it).
+constexpr double kMinUsableRatio = 0.95;
 
 // A sidecar process with a reserved address to listen on.
 class RunningSidecar {
--- a/tests/faults/soak_rules.cpp
+++ b/tests/faults/soak_rules.cpp
@@ -17,9 +17,13 @@
 constexpr auto kDrainSlack = milliseconds(50);
 constexpr auto kDisconnectSlack = milliseconds(100);  // for an attempt after its client disconnected
 constexpr double kDeadlineSlack = 0.15;               // seconds, for the deadline that a server receives
-// A final answer that comes later than this after its deadline is not counted.
+// Callers wait for an answer until this long after the deadline; see kAnswerTolerance in caller.cpp.
 constexpr auto kAnswerTolerance = milliseconds(500);
-// A request that was sent later than this after SIGTERM and was accepted must be answered before SIGKILL.
+// For this long after SIGTERM the sidecar waits for new requests, on new connections too; see
+// Sidecar::Drain() in src/net/sidecar.cpp. An accepted request that was sent later must be answered, as the
+// sidecar must not accept it then and leave it to SIGKILL. One that was in progress at SIGTERM, or was sent
+// up to this long after it, may go unanswered, but only if the sidecar had not ended by itself before
+// SIGKILL.
 constexpr auto kShutdownAcceptTime = milliseconds(700);
 // A recorded time may be late because of any stall within this distance of it.
 constexpr Clock::duration kStallWindow = std::chrono::seconds(1);
@@ -79,7 +83,7 @@
   }
 
   // A process that was started after the change may use the list that it was started with until a call to
-  // discovery fails, but no longer than ask_within.
+  // discovery fails, but no longer than ask_within, and so need not obey the change before then.
   Clock::time_point StartListValidUntil(const FaultyDiscovery::Change& change) const {
     if (!record_.restart || change.made_at > record_.restart->started) return change.made_at;
     const Clock::time_point started = record_.restart->started;
--- a/tests/faults/soak_run.cpp
+++ b/tests/faults/soak_run.cpp
@@ -30,7 +30,10 @@
 constexpr double kLastFault = 11.0;  // no fault begins later than this
 constexpr double kTerminateAt = 19.0;
 constexpr double kNewConnectionTime = 0.3;  // after SIGTERM, new connections are opened for this long
-constexpr double kKillDelay = 2.0 + 0.7;    // from SIGTERM to SIGKILL: the longest deadline and 0.7 s
+// From SIGTERM to SIGKILL: the longest deadline (kMaxDeadline in caller.cpp, and hard_limit_us in the
+// sidecar's settings) and 0.7 s. It is the earliest SIGKILL that the sidecar has to expect; see
+// Sidecar::Drain() in src/net/sidecar.cpp and the constants for it.
+constexpr double kKillDelay = 2.0 + 0.7;
 constexpr auto kTick = milliseconds(5);
 constexpr auto kMinStall = milliseconds(20);  // a tick that is late by more than this is recorded as a stall
 
@@ -97,7 +100,7 @@
     if (!record_.pushed) settings["membership_mode"] = "subscribe";
     settings["rules"]["ask_within_us"] = record_.ask_within.count();
     settings["rules"]["drain_grace_us"] = record_.grace.count();
-    settings["siblings"] = siblings_;
+    settings["siblings"] = sidecar_count_;
     for (nlohmann::json& grade : settings["grades"]) grade["hard_limit_us"] = 2'000'000;
     config_.Write(json.dump());
   }
@@ -184,8 +187,8 @@
       record_.restart->started = Clock::now();
     });
   }
-  // Sends SIGTERM, repeated and mixed with SIGHUP. The callers continue until SIGKILL, which comes at the
-  // earliest time that the sidecar has to expect.
+  // Sends SIGTERM, repeated and mixed with SIGHUP. The callers continue until SIGKILL, which comes kKillDelay
+  // after the first SIGTERM.
   void PlanShutdown() {
     ScheduleAt(kTerminateAt, "SIGTERM", [this] {
       record_.terminated = Clock::now();
@@ -296,7 +299,7 @@
   Clock::time_point last_tick_;
   std::vector<std::string> timeline_;
   std::vector<std::string> crashes_;
-  int siblings_ = std::array<int, 4>{1, 8, 41, 300}.at(random_() % 4);
+  int sidecar_count_ = std::array<int, 4>{1, 8, 41, 300}.at(random_() % 4);
   bool finished_ = false;
 };
 
--- a/tests/faults/soak_test.cpp
+++ b/tests/faults/soak_test.cpp
@@ -23,7 +23,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, SoakTest, ::testing::Values(1, 7, 14, 301));
 
 // Guards against requests to a server whose drain arrived only in part before an outage of discovery that
-// lasts longer than the pause of dispatch for possible changes.
+// lasts longer than a dispatch pause.
 INSTANTIATE_TEST_SUITE_P(OutageAfterACutOffList, SoakTest, ::testing::Values(357));
 
 // Known failures: see KNOWN-RED.txt.
--- a/tests/relay/list_store_test.cpp
+++ b/tests/relay/list_store_test.cpp
@@ -1,4 +1,4 @@
-// Tests of ListStore: deltas, compaction, dropped tombstones, saving and restoring.
+// Tests of ListStore: deltas, each entry at most once in a delta, dropped tombstones, saving and restoring.
 #include "relay/list_store.hpp"
 
 #include "fixture.hpp"
--- a/tests/scale/capacity_test.cpp
+++ b/tests/scale/capacity_test.cpp
@@ -39,7 +39,8 @@
   for (const double size : {1, 2, 4, 8, 16}) samples.push_back(MakeSample(size, 5 * size * size));
   const Series series = FitAll(samples).at(kSeries);
   EXPECT_NEAR(series.exponent.value(), 2, 1e-9);
-  // The line is 86.25 x - 193.75: at size 1 it is -107.5, not 5.
+  // The line is 86.25 x - 193.75: at size 1 it is -107.5 and the median 5, so the relative residual is
+  // 112.5 / 5.
   EXPECT_NEAR(series.residual_largest, 22.5, 1e-9);
   EXPECT_FALSE(series.SpansTwoDecades());
   EXPECT_FALSE(series.spread.has_value());
--- a/tests/scale/discovery_test_bed_test.cpp
+++ b/tests/scale/discovery_test_bed_test.cpp
@@ -66,6 +66,7 @@
   std::set<std::string> sizes;
 };
 
+// KNOWN-RED.txt refers to this suite's name.
 class RigTest : public ::testing::Test {
  protected:
   class SampleList : public Recorder {
