--- a/scale/capacity_tables.cpp
+++ b/scale/capacity_tables.cpp
@@ -77,7 +77,7 @@
 
 std::string RolesTable(const std::vector<Demand>& demands) {
   std::string text = HeaderRows({"role", "figure", "when", "demand", "budget", "unit", "of the budget",
-                                 "rests on", "formula", "extrapolated", "mechanism"});
+                                 "measured values used", "formula", "extrapolated", "mechanism"});
   for (const Demand& demand : demands) {
     const RoleRow& row = *demand.row;
     text += Row({row.role, row.figure, row.when, FormatNumber(demand.demand),
@@ -137,8 +137,8 @@
 }
 
 std::string AssumptionsTable(const CapacityModel& model, const std::vector<Demand>& demands) {
-  std::string text = HeaderRows(
-      {"assumption", "value", "reason", "worst at half", "worst as it is", "worst at twice", "moves most"});
+  std::string text = HeaderRows({"assumption", "value", "reason", "worst at half", "worst as it is",
+                                 "worst at twice", "most affected row"});
   for (const Assumption& assumption : model.targets().assumptions) {
     const double value = model.targets().values.at(assumption.name);
     const std::vector<Demand> half = model.Demands({{assumption.name, value / 2}});
